--- a/src/decide/groups/fit.rs
+++ b/src/decide/groups/fit.rs
@@ -1,11 +1,11 @@
-//! Whether a whole group fits into what is free, before any of it is sent.
+//! Checks whether a whole group fits into the free room, before any member is sent.
 
 use crate::placer::{Room, Seconds, Space};
 
-/// A member's wishes.
+/// The requirements of a member.
 #[derive(Clone, Copy, Debug)]
 pub struct Need {
-    /// What it asks for.
+    /// The room that it requests.
     pub room: Room,
     /// The only kind of machine that may hold it.
     pub kind: Option<usize>,
@@ -14,24 +14,25 @@
 /// Why a group does not fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lacks {
-    /// It would not fit into the whole fleet, were that empty: no coming back helps.
+    /// It would not fit even if all machines were empty: a retry cannot help.
     Ever,
-    /// It asks for more of the fleet than one group may.
+    /// It requests a larger share of the machines' room than one group may.
     Share,
-    /// There is no room for all of it now.
+    /// There is no room for the whole group now.
     Now,
 }
 
-/// Seconds. When to come back at the least, and at the most, where there is no room.
-const AWAY_S: (Seconds, Seconds) = (0.25, 30.0);
+/// Seconds. The shortest and the longest retry time if there is no room.
+const RETRY_AFTER_S: (Seconds, Seconds) = (0.25, 30.0);
 
-/// Fits all needs into the spaces, the largest first, each where least would be left over: a group that is packed
-/// tightly leaves more whole room to the next one. A heuristic: it may miss a fit that only a search would find, and
-/// never claims one that is none. `kept` is room that other groups were promised.
-pub fn fits(needs: &[Need], spaces: &[Space], kept: &[Need]) -> bool {
+/// Checks whether all needs fit into the spaces (best fit, decreasing): the largest need first, each where
+/// the least room is left over, as tight packing leaves larger gaps to the next group. This is a heuristic:
+/// it may miss a fit that only a search would find, and never reports a fit that does not exist. `reserved`
+/// are needs for which room is reserved.
+pub fn fits(needs: &[Need], spaces: &[Space], reserved: &[Need]) -> bool {
     let mut left: Vec<Space> = spaces.iter().filter(|s| s.offers > 0).copied().collect();
-    // Those that came first keep what they were promised.
-    pack(kept, &mut left);
+    // Reservations of earlier groups come first.
+    pack(reserved, &mut left);
     pack(needs, &mut left)
 }
 
@@ -57,11 +58,12 @@
     all
 }
 
-/// Looks whether a group may be let in. `share` is the most of the whole fleet that one group may ask for.
+/// Checks whether a group may be admitted. `share` is the largest share of all machines' room that one group
+/// may request.
 ///
 /// # Errors
-/// What it lacks.
-pub fn admit(needs: &[Need], spaces: &[Space], kept: &[Need], share: f64) -> Result<(), Lacks> {
+/// Why it does not fit.
+pub fn admit(needs: &[Need], spaces: &[Space], reserved: &[Need], share: f64) -> Result<(), Lacks> {
     let empty: Vec<Space> =
         spaces.iter().map(|s| Space { left: s.limit, offers: usize::MAX, ..*s }).collect();
     if !fits(needs, &empty, &[]) {
@@ -72,14 +74,15 @@
     if asked.share_of(whole) > share {
         return Err(Lacks::Share);
     }
-    if fits(needs, spaces, kept) {
+    if fits(needs, spaces, reserved) {
         Ok(())
     } else {
         Err(Lacks::Now)
     }
 }
 
-/// Seconds until there may be room: what is short, over the pace at which tasks end and set room free.
+/// Estimates the seconds until there may be room: the shortfall, divided by the rate at which ending tasks
+/// free room.
 pub fn away(needs: &[Need], spaces: &[Space], ends_per_s: f64, mean_room: Room) -> Seconds {
     let sum = |rooms: &mut dyn Iterator<Item = Room>| rooms.fold(Room::default(), |all, room| all + room);
     let (asked, left) = (sum(&mut needs.iter().map(|n| n.room)), sum(&mut spaces.iter().map(|s| s.left)));
@@ -89,5 +92,5 @@
         left.memory,
         mean_room.memory,
     ));
-    (tasks / ends_per_s.max(1e-3)).clamp(AWAY_S.0, AWAY_S.1)
+    (tasks / ends_per_s.max(1e-3)).clamp(RETRY_AFTER_S.0, RETRY_AFTER_S.1)
 }
--- a/src/decide/groups/interface.rs
+++ b/src/decide/groups/interface.rs
@@ -1,57 +1,59 @@
-//! What one group is told, hears, asks for and answers.
+//! The policy, events, actions and answers of one group.
 
 use crate::placer::Seconds;
 
 /// Number of a member within its group, from 0.
 pub type MemberNo = usize;
 
-/// What follows when a member is lost after the group stood whole.
+/// What to do if a member is lost after the whole group stood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OnLoss {
-    /// The others go on.
+    /// The other members go on.
     Keep,
-    /// The others are cut.
+    /// The other members are cut.
     Cut,
-    /// The lost one alone is placed again, within a bound; past it the others are cut.
+    /// The lost member alone is placed again, up to a number of replacements; after that the other members
+    /// are cut.
     Replace,
 }
 
-/// What the operators' file and the ask say of a group.
+/// How a group is handled, as set by the operators' file and the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Seconds that a group may stand in part.
+    /// Seconds for which some, but not all, members may stand.
     pub partial_s: Seconds,
-    /// Seconds that an answer may wait for the machines' word on cuts.
+    /// Seconds that the answer may wait for machines to confirm cuts.
     pub cut_wait_s: Seconds,
-    /// Tries of the whole group.
+    /// The most tries of the whole group.
     pub tries: u32,
-    /// Seconds between two tries of the whole, least and most; drawn from the group's id.
+    /// Seconds between two tries of the whole group, least and most; the value is derived from the group's
+    /// id.
     pub pause_s: (Seconds, Seconds),
-    /// What follows a loss.
+    /// What to do if a member is lost.
     pub on_loss: OnLoss,
-    /// Members that may be placed again after a loss, over the group's life.
+    /// The most members that are placed again after a loss, over the lifetime of the group.
     pub replacements: u32,
 }
 
-/// Where a group stands.
+/// The phase of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Waits to be let in: before its first try, or between two.
+    /// Waits for admission: before its first try, or between two tries.
     Admitting,
     /// Its members are being placed.
     Placing,
-    /// All of it stands.
+    /// All members stand, or did.
     Standing,
-    /// It is given up: its members are being cut.
+    /// Given up: its members are being cut.
     Releasing,
-    /// Nothing more will come.
+    /// Ended: no further actions follow.
     Over,
 }
 
 /// Why a group was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Why {
-    /// There is no room for the whole of it.
+    /// There is no room for the whole group.
     NoRoom,
     /// A member was refused for good.
     Refused,
@@ -59,98 +61,98 @@
     Failed,
     /// A member was lost before the group stood whole.
     Lost,
-    /// It stood in part for too long.
+    /// Some, but not all, members stood for too long.
     Partial,
-    /// Its time was up.
+    /// It could not be placed in time before its deadline.
     Deadline,
-    /// Its owner gave it up.
+    /// Its owner cancelled it.
     Cancelled,
-    /// The planner stops.
+    /// The planner shuts down.
     Stopping,
 }
 
 /// The one final answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// All members stand.
+    /// All members stand or have finished.
     Placed,
-    /// Nothing runs, and nothing did run to its end; asking again is harmless after so many seconds.
+    /// Nothing runs and no member has finished; it is safe to submit the group again.
     Refused {
         /// Why.
         why: Why,
-        /// When to come back.
+        /// Seconds after which to submit it again.
         retry_in_s: Seconds,
     },
-    /// Something may have run, or may still.
+    /// A member may have run, or may still run.
     Failed {
         /// Why.
         why: Why,
     },
 }
 
-/// What a group hears.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// There is room for the whole of it now; the others' room is kept free until they were asked for.
+    /// There is room for the whole group now; it stays reserved for members that are not submitted yet.
     LetIn,
-    /// There is none.
+    /// There is no room for the whole group.
     NoRoom {
-        /// When there may be.
+        /// Seconds after which there may be.
         retry_in_s: Seconds,
     },
-    /// A member stands.
+    /// A member stands: its machine reports that it runs.
     Stands {
-        /// Which.
+        /// The member.
         member: MemberNo,
     },
-    /// A member is refused: no attempt of it ran, or each that may have is still to be proved gone.
+    /// A member is refused: no attempt of it ran, or those that may have run are still to be proved gone.
     Refused {
-        /// Which.
+        /// The member.
         member: MemberNo,
-        /// When it may be asked for again.
+        /// Seconds after which it may be submitted again.
         retry_in_s: Seconds,
     },
     /// A member failed.
     Failed {
-        /// Which.
+        /// The member.
         member: MemberNo,
     },
-    /// A member that stood ran to its end.
+    /// A running member finished.
     Finished {
-        /// Which.
+        /// The member.
         member: MemberNo,
     },
-    /// A member that stood is lost: its machine or its copy is gone.
+    /// A running member is lost: its machine or its copy is gone.
     Lost {
-        /// Which.
+        /// The member.
         member: MemberNo,
     },
-    /// No copy of a member can run any more: the machines said so, or never had one.
+    /// No copy of a member can run any more: the machines confirmed this, or none had a copy.
     Clear {
-        /// Which.
+        /// The member.
         member: MemberNo,
     },
-    /// The owner gives the group up, or ends it.
+    /// The owner cancels the group, or ends it once it stands.
     Cancel,
-    /// The planner stops: what does not stand whole is given up.
+    /// The planner shuts down: a group that does not stand whole is given up.
     Stop,
     /// Time has passed.
     Tick,
 }
 
-/// What a group asks for.
+/// An output of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Tell whether there is room for the whole.
+    /// Check whether there is room for the whole group.
     Admit,
-    /// Hand the member in as a job.
+    /// Submit the member as a job.
     Place(MemberNo),
-    /// Take the member back or cut it; [`Event::Clear`] follows once it is proved gone.
+    /// Withdraw or cut the member; [`Event::Clear`] follows once it is proved gone.
     Cut(MemberNo),
-    /// The final answer.
+    /// Send the final answer.
     Answer(Answer),
-    /// Tick at that time.
+    /// Send an [`Event::Tick`] at that time.
     WakeAt(Seconds),
-    /// The group is over: nothing more comes of it.
+    /// The group has ended: no further actions follow.
     Over,
 }
--- a/src/decide/groups/mod.rs
+++ b/src/decide/groups/mod.rs
@@ -1,13 +1,21 @@
-//! All or nothing groups: the state machine of one group, and whether a group fits. Pure: time comes in, actions go out.
+//! All-or-nothing groups (gang scheduling): the state machine of one group, and whether a group fits. The
+//! code is pure: the caller passes the time in, and the state machine returns actions.
 //!
-//! What must hold, and what holds it (the model is `model.rs`, driven by stateright over this very code):
-//! - One final answer, and none after it (`model`: "one answer"; asserted in [`Group::answer`]).
-//! - `Placed` only while every member stands or has run to its end (`model`: "placed means whole").
-//! - `Refused` only where nothing of the group can run any more, and nothing ran to its end (`model`: "refused is true").
-//! - A member is asked for again only once its earlier copy is proved gone (`model`: "no member doubled").
-//! - A group stands in part no longer than `partial_s`: by then it stands whole or all its members have been told to go
-//!   (`model`: "no partial group stands for ever"; `tests::a_partial_group_is_cut_in_time`).
-//! - The answer waits for no machine longer than `cut_wait_s` (`tests::an_answer_does_not_wait_for_a_silent_machine`).
+//! A member is a job of the group. It *stands* while a machine runs it. To *cut* a member is to end all
+//! copies of it; it is *clear* once it is proved that no copy of it can run any more.
+//!
+//! Invariants, and what covers each (`model.rs` is a stateright model that drives this code):
+//! - There is exactly one final answer (`model`: "one answer"; asserted in [`Group::answer`]).
+//! - The answer is `Placed` only if every member stands or has finished (`model`: "placed and refused are
+//!   true").
+//! - The answer is `Refused` only if nothing of the group can run any more and no member has finished
+//!   (`model`: "placed and refused are true").
+//! - A member is placed again only once it is proved that its earlier copy is gone (`model`: "no member runs
+//!   twice").
+//! - A group stands in part for at most `partial_s`: by then it stands whole, or all its members are cut
+//!   (`model`: "no group stands in part for too long"; `tests::a_partial_group_is_cut_in_time`).
+//! - The answer waits for machines for at most `cut_wait_s`
+//!   (`tests::an_answer_does_not_wait_for_a_silent_machine`).
 
 pub mod fit;
 mod interface;
@@ -22,23 +30,24 @@
 use crate::placer::Seconds;
 pub use interface::{Action, Answer, Event, MemberNo, OnLoss, Phase, Policy, Why};
 
-/// Share of `partial_s` after which a group that stands in part is given up, so that the cuts are heard within it.
-const CUT_AT: f64 = 0.8;
+/// Share of `partial_s` after which a group that stands in part is given up; the rest is left for the cuts to
+/// take effect.
+const GIVE_UP_SHARE: f64 = 0.8;
 
-/// Where a member stands.
+/// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Member {
-    /// Not asked for yet; due at that time.
+    /// To be submitted at that time.
     Waiting(Seconds),
-    /// Handed in.
+    /// Submitted as a job, and not running yet.
     Asked,
-    /// Stands.
+    /// Running.
     Stands,
     /// Ran to its end.
     Finished,
-    /// Told to go, or given up; not yet proved gone.
+    /// Being cut; a copy of it may still run.
     Cutting,
-    /// Nothing of it can run.
+    /// No copy of it can run.
     Clear,
 }
 
@@ -47,31 +56,31 @@
 pub struct Group {
     policy: Policy,
     deadline: Seconds,
-    /// Draws the pauses.
+    /// Seed of the pauses between tries.
     salt: u64,
     phase: Phase,
     members: Vec<Member>,
-    /// Seconds that each member is expected to take until it stands.
+    /// Seconds that each member is expected to take to start.
     starts: Vec<Seconds>,
     tries: u32,
     replaced: u32,
     answered: bool,
     why: Option<Why>,
     retry_in_s: Seconds,
-    /// Since when it stands in part.
+    /// Since when some, but not all, members stand.
     partial_since: Option<Seconds>,
-    /// When the answer waits for no machine any more.
-    cut_until: Seconds,
-    /// When it is to be let in again.
-    again_at: Seconds,
-    /// A member ran to its end, which cannot be taken back.
-    ran: bool,
-    /// The next tick that was asked for.
+    /// Until when the answer waits for machines to confirm cuts.
+    release_until: Seconds,
+    /// When to ask for admission again.
+    readmit_at: Seconds,
+    /// A member has finished, which cannot be undone.
+    any_finished: bool,
+    /// The time of the next tick that was requested.
     wake_at: Seconds,
 }
 
-/// A figure from 0 to 1 that follows from two numbers.
-fn drawn(salt: u64, turn: u32) -> f64 {
+/// A pseudo-random number from 0 to 1, derived from a seed and a turn.
+fn pseudo_random(salt: u64, turn: u32) -> f64 {
     use siphasher::sip::SipHasher13;
     use std::hash::Hasher;
     let mut hash = SipHasher13::new();
@@ -81,8 +90,8 @@
 }
 
 impl Group {
-    /// A group that waits to be let in. `starts` holds for each member the seconds that it is expected to take until it
-    /// stands; `salt` tells its pauses from those of others.
+    /// Creates a group that waits for admission. `starts` holds the seconds that each member is expected to
+    /// take to start; `salt` makes its pauses differ from those of other groups.
     pub fn new(policy: Policy, deadline: Seconds, starts: Vec<Seconds>, salt: u64) -> Group {
         Group {
             policy,
@@ -97,28 +106,28 @@
             why: None,
             retry_in_s: 0.0,
             partial_since: None,
-            cut_until: 0.0,
-            again_at: 0.0,
-            ran: false,
+            release_until: 0.0,
+            readmit_at: 0.0,
+            any_finished: false,
             wake_at: f64::INFINITY,
         }
     }
 
-    /// When something is due next, whatever else happens.
+    /// When the next timed step is due, if no event comes before.
     fn due(&self) -> Option<Seconds> {
         match self.phase {
-            Phase::Admitting => Some(self.again_at.min(self.last_call())),
+            Phase::Admitting => Some(self.readmit_at.min(self.latest_give_up())),
             Phase::Placing => {
                 let due = |m: &Member| if let Member::Waiting(due) = m { *due } else { f64::INFINITY };
                 let sends = self.members.iter().map(due).fold(f64::INFINITY, f64::min);
-                Some(sends.min(self.partial_until()).min(self.last_call()))
+                Some(sends.min(self.partial_until()).min(self.latest_give_up()))
             }
-            Phase::Releasing => Some(self.cut_until),
+            Phase::Releasing => Some(self.release_until),
             Phase::Standing | Phase::Over => None,
         }
     }
 
-    /// Asks for a tick at the next time that something is due, unless one that comes no later is asked for already.
+    /// Requests a tick for the next timed step, unless an earlier or equal one is pending.
     fn wake(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         let Some(at) = self.due() else { return };
         if at < self.wake_at || self.wake_at <= now {
@@ -127,38 +136,38 @@
         }
     }
 
-    /// Until when it may stand in part.
+    /// Until when the group may stand in part.
     fn partial_until(&self) -> Seconds {
-        self.partial_since.map_or(f64::INFINITY, |at| at + self.policy.partial_s * CUT_AT)
+        self.partial_since.map_or(f64::INFINITY, |at| at + self.policy.partial_s * GIVE_UP_SHARE)
     }
 
-    /// Where it stands.
+    /// The phase that the group is in.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Why it was given up.
+    /// Why the group was given up, if it was.
     pub fn why(&self) -> Option<Why> {
         self.why
     }
 
-    /// Tries of the whole so far.
+    /// Tries of the whole group so far.
     pub fn tries(&self) -> u32 {
         self.tries
     }
 
-    /// Members that are still to be asked for, whose room is kept free.
+    /// Members that are still to be submitted; room is reserved for them.
     pub fn waiting(&self) -> impl Iterator<Item = MemberNo> + '_ {
         let placing = self.phase == Phase::Placing;
         self.of(|m| matches!(m, Member::Waiting(_))).filter(move |_| placing)
     }
 
-    /// Members that were asked for and do not stand yet.
+    /// Members that were submitted and do not stand yet.
     pub fn asked(&self) -> impl Iterator<Item = MemberNo> + '_ {
         self.of(|m| matches!(m, Member::Asked))
     }
 
-    /// Members that were told to go and are not proved gone.
+    /// Members that are being cut and may still run.
     pub fn unproved(&self) -> impl Iterator<Item = MemberNo> + '_ {
         self.of(|m| matches!(m, Member::Cutting))
     }
@@ -172,23 +181,24 @@
         self.members.iter().enumerate().filter(move |(_, m)| is(m)).map(|(at, _)| at)
     }
 
-    /// The first thing that is done about it: it asks to be let in.
+    /// Starts the group: asks for admission.
     pub fn begin(&mut self, now: Seconds, actions: &mut Vec<Action>) {
-        self.again_at = f64::INFINITY;
+        self.readmit_at = f64::INFINITY;
         actions.push(Action::Admit);
         self.wake(now, actions);
     }
 
-    /// By then it must be given up, so that the answer is in time though a machine says nothing.
-    fn last_call(&self) -> Seconds {
+    /// The latest time to give the group up so that the answer meets the deadline even if a machine does not
+    /// respond.
+    fn latest_give_up(&self) -> Seconds {
         self.deadline - self.policy.cut_wait_s
     }
 
-    /// Hears an event and appends what is to be done about it.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         match (self.phase, event) {
             (Phase::Over, _) => return,
-            (Phase::Admitting, Event::LetIn) => self.let_in(now),
+            (Phase::Admitting, Event::LetIn) => self.start_try(now),
             (Phase::Admitting, Event::NoRoom { retry_in_s }) => {
                 self.retry_in_s = retry_in_s;
                 self.give_up(now, Why::NoRoom, actions);
@@ -201,9 +211,9 @@
             (_, Event::Stands { member }) => self.stands(now, member, actions),
             (_, Event::Refused { member, retry_in_s }) => {
                 self.retry_in_s = self.retry_in_s.max(retry_in_s);
-                self.turned(now, member, Why::Refused, actions);
+                self.not_placed(now, member, Why::Refused, actions);
             }
-            (_, Event::Failed { member }) => self.turned(now, member, Why::Failed, actions),
+            (_, Event::Failed { member }) => self.not_placed(now, member, Why::Failed, actions),
             (_, Event::Finished { member }) => self.finished(member),
             (_, Event::Lost { member }) => self.lost(now, member, actions),
             (_, Event::Clear { member }) => {
@@ -217,8 +227,9 @@
         self.wake(now, actions);
     }
 
-    /// Starts a try: those that take long to start go first, so that starts meet.
-    fn let_in(&mut self, now: Seconds) {
+    /// Starts a try: members that take longer to start are submitted earlier, so that all start at about the
+    /// same time.
+    fn start_try(&mut self, now: Seconds) {
         self.phase = Phase::Placing;
         self.tries += 1;
         self.why = None;
@@ -232,7 +243,7 @@
     fn stands(&mut self, now: Seconds, member: MemberNo, actions: &mut Vec<Action>) {
         match self.members.get_mut(member) {
             Some(state @ Member::Asked) => *state = Member::Stands,
-            // Its answer crossed the cut: it is cut where it stands.
+            // Its start was reported while the cut was on its way: cuts it where it runs.
             Some(Member::Cutting) => actions.push(Action::Cut(member)),
             _ => {}
         }
@@ -242,15 +253,15 @@
         }
     }
 
-    /// A member was refused or failed.
-    fn turned(&mut self, now: Seconds, member: MemberNo, why: Why, actions: &mut Vec<Action>) {
+    /// Handles a member that was refused or failed.
+    fn not_placed(&mut self, now: Seconds, member: MemberNo, why: Why, actions: &mut Vec<Action>) {
         let Some(state @ Member::Asked) = self.members.get_mut(member) else { return };
-        // Whether attempts of it may have run, the machines have to say.
+        // Attempts of it may have run: cuts it until the machines confirm that none does.
         *state = Member::Cutting;
         actions.push(Action::Cut(member));
         match self.phase {
             Phase::Placing => self.give_up(now, why, actions),
-            // It was to take the place of one that was lost.
+            // It was the replacement of a lost member.
             Phase::Standing => self.replace(now, actions),
             _ => {}
         }
@@ -259,13 +270,13 @@
     fn finished(&mut self, member: MemberNo) {
         if let Some(state @ (Member::Stands | Member::Cutting)) = self.members.get_mut(member) {
             *state = Member::Finished;
-            self.ran = true;
+            self.any_finished = true;
         }
     }
 
     fn lost(&mut self, now: Seconds, member: MemberNo, actions: &mut Vec<Action>) {
         let Some(state @ Member::Stands) = self.members.get_mut(member) else { return };
-        // The machine may only be out of reach: its copy counts as told to go until it is proved gone.
+        // The machine may only be unreachable: the copy counts as being cut until it is proved gone.
         *state = Member::Cutting;
         actions.push(Action::Cut(member));
         match (self.phase, self.policy.on_loss) {
@@ -276,7 +287,8 @@
         }
     }
 
-    /// Has a member placed again once its copy is proved gone, or ends the group where that was done too often.
+    /// Allows a lost member to be placed again once its copy is proved gone, or gives the group up if the
+    /// bound on replacements is reached.
     fn replace(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         if self.replaced >= self.policy.replacements {
             return self.give_up(now, Why::Lost, actions);
@@ -284,12 +296,12 @@
         self.replaced += 1;
     }
 
-    /// Cuts every member at once.
+    /// Gives the group up and cuts all its members at once.
     fn give_up(&mut self, now: Seconds, why: Why, actions: &mut Vec<Action>) {
-        // The reason of this try, not of one before it.
+        // Replaces the reason of an earlier try.
         self.why = Some(why);
         self.phase = Phase::Releasing;
-        self.cut_until = now + self.policy.cut_wait_s;
+        self.release_until = now + self.policy.cut_wait_s;
         for (at, member) in self.members.iter_mut().enumerate() {
             match member {
                 Member::Waiting(_) => *member = Member::Clear,
@@ -302,18 +314,18 @@
         }
     }
 
-    /// What is due now, after each event.
+    /// Does what is due now; called after each event.
     fn step(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         match self.phase {
             Phase::Admitting => {
-                if now >= self.last_call() {
+                if now >= self.latest_give_up() {
                     self.give_up(now, Why::Deadline, actions);
                     return self.step(now, actions);
                 }
-                if self.tries > 0 && now >= self.again_at {
+                if self.tries > 0 && now >= self.readmit_at {
                     actions.push(Action::Admit);
-                    // Asked once; the answer comes back before time passes.
-                    self.again_at = f64::INFINITY;
+                    // Asks only once: the answer comes before the clock advances.
+                    self.readmit_at = f64::INFINITY;
                 }
             }
             Phase::Placing => self.place(now, actions),
@@ -344,8 +356,8 @@
             return self.step(now, actions);
         }
         let partial_until =
-            self.partial_since.map_or(f64::INFINITY, |at| at + self.policy.partial_s * CUT_AT);
-        if now >= self.last_call() || now >= partial_until {
+            self.partial_since.map_or(f64::INFINITY, |at| at + self.policy.partial_s * GIVE_UP_SHARE);
+        if now >= self.latest_give_up() || now >= partial_until {
             let why = if now >= partial_until { Why::Partial } else { Why::Deadline };
             self.give_up(now, why, actions);
             return self.step(now, actions);
@@ -361,11 +373,12 @@
         }
     }
 
-    /// Once all is proved gone, or the wait for it is over: another try of the whole, or the answer.
+    /// Once all members are proved gone, or the wait for that is over: starts another try of the whole group,
+    /// or answers.
     fn release(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         let gone = |m: &Member| matches!(m, Member::Clear | Member::Finished);
         let proved = self.members.iter().all(gone);
-        if !proved && now < self.cut_until {
+        if !proved && now < self.release_until {
             return;
         }
         self.partial_since = None;
@@ -374,15 +387,15 @@
             return self.end(actions);
         }
         let (least, most) = self.policy.pause_s;
-        let pause = (least + (most - least) * drawn(self.salt, self.tries)).max(self.retry_in_s);
-        let worth = matches!(why, Why::Refused | Why::Lost | Why::Partial | Why::Failed);
-        let again = proved && !self.ran && worth && self.tries < self.policy.tries;
-        if again && now + pause < self.last_call() {
+        let pause = (least + (most - least) * pseudo_random(self.salt, self.tries)).max(self.retry_in_s);
+        let retryable = matches!(why, Why::Refused | Why::Lost | Why::Partial | Why::Failed);
+        let retry = proved && !self.any_finished && retryable && self.tries < self.policy.tries;
+        if retry && now + pause < self.latest_give_up() {
             self.phase = Phase::Admitting;
-            self.again_at = now + pause;
+            self.readmit_at = now + pause;
             return;
         }
-        let answer = match proved && !self.ran {
+        let answer = match proved && !self.any_finished {
             true => Answer::Refused { why, retry_in_s: pause },
             false => Answer::Failed { why },
         };
--- a/src/decide/groups/model.rs
+++ b/src/decide/groups/model.rs
@@ -1,5 +1,6 @@
-//! A model check of the group's state machine: every order of answers, refusals, cuts, losses, ends, hangs and ticks for
-//! small groups. The model drives the real [`Group`]; what it adds are the machines and the messages on their way.
+//! A model check of the group's state machine: every order of answers, refusals, cuts, losses, ends, hangs
+//! and ticks for small groups. The model drives the real [`Group`] and simulates the machines and the
+//! messages in transit.
 
 use super::*;
 use stateright::{Checker, Model, Property};
@@ -24,18 +25,18 @@
     Gone,
 }
 
-/// A member's machine and the connection to it, in order both ways.
+/// A member's machine and the connection to it; messages stay in order in both directions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
-struct Line {
+struct Connection {
     down: VecDeque<Down>,
     up: VecDeque<Up>,
-    /// Copies that run, which may never be two.
+    /// Running copies; never more than one in a correct run.
     copies: u8,
     hangs: bool,
-    /// What the reducer knows: an offer is out, or a copy stands.
+    /// The reducer's view: an offer is unanswered, or a copy is known to run.
     asked: bool,
     stands: bool,
-    /// A cut was sent whose answer has not come.
+    /// A cut was sent and is not confirmed yet.
     cut: bool,
 }
 
@@ -44,17 +45,17 @@
     group: Group,
     now: u32,
     wakes: Vec<u32>,
-    lines: Vec<Line>,
+    connections: Vec<Connection>,
     answers: Vec<Answer>,
-    /// What an answer claimed and was not so.
-    lie: Option<&'static str>,
-    doubled: bool,
+    /// A claim in an answer that was false.
+    false_claim: Option<&'static str>,
+    runs_twice: bool,
     cancelled: bool,
     finished: u8,
 }
 
 impl State {
-    /// All that tells two states apart.
+    /// Everything that distinguishes two states.
     fn key(&self) -> impl Hash + PartialEq + '_ {
         let g = &self.group;
         let member = |m: &Member| match m {
@@ -66,10 +67,11 @@
             Member::Clear => (5, 0),
         };
         let members: Vec<(u8, u64)> = g.members.iter().map(member).collect();
-        let counts = (g.phase, g.tries, g.replaced, g.answered, g.ran, g.why);
+        let counts = (g.phase, g.tries, g.replaced, g.answered, g.any_finished, g.why);
         let times =
-            [g.cut_until, g.again_at, g.partial_since.unwrap_or(-1.0), g.retry_in_s].map(f64::to_bits);
-        let own = (self.now, &self.wakes, &self.lines, self.lie, self.doubled, self.cancelled);
+            [g.release_until, g.readmit_at, g.partial_since.unwrap_or(-1.0), g.retry_in_s].map(f64::to_bits);
+        let own =
+            (self.now, &self.wakes, &self.connections, self.false_claim, self.runs_twice, self.cancelled);
         (members, counts, times, own, self.answers.len(), self.finished)
     }
 }
@@ -90,8 +92,8 @@
 enum Step {
     /// The machine takes the next message: an offer runs, is refused or fails.
     Take(usize, Up),
-    /// The planner hears the next message.
-    Hear(usize),
+    /// The planner receives the next message.
+    Receive(usize),
     /// A copy that runs ends or is lost.
     End(usize, Up),
     /// A machine hangs, or goes on.
@@ -100,8 +102,8 @@
     Cancel,
 }
 
-/// The world: so many members, and what may befall them.
-struct World {
+/// The model's parameters: the number of members, their policy, and whether machines may hang.
+struct GroupModel {
     members: usize,
     policy: Policy,
     hangs: bool,
@@ -109,14 +111,15 @@
 
 /// Milliseconds in one step of the model's clock.
 const STEP_MS: f64 = 100.0;
-const DEADLINE: u32 = 40;
+/// Steps of the model's clock. The deadline of the group.
+const DEADLINE_STEPS: u32 = 40;
 
 fn seconds(step: u32) -> Seconds {
     f64::from(step) * STEP_MS / 1e3
 }
 
-impl World {
-    fn hear(&self, state: &mut State, event: Event) {
+impl GroupModel {
+    fn handle(&self, state: &mut State, event: Event) {
         let mut actions = Vec::new();
         state.group.handle(seconds(state.now), event, &mut actions);
         self.act(state, actions);
@@ -126,38 +129,41 @@
         let mut clear = Vec::new();
         for action in actions {
             match action {
-                Action::Admit => self.hear(state, Event::LetIn),
+                Action::Admit => self.handle(state, Event::LetIn),
                 Action::Place(at) => {
-                    let line = &mut state.lines[at];
-                    line.down.push_back(Down::Offer);
-                    (line.asked, line.stands, line.cut) = (true, false, false);
+                    let connection = &mut state.connections[at];
+                    connection.down.push_back(Down::Offer);
+                    (connection.asked, connection.stands, connection.cut) = (true, false, false);
                 }
                 Action::Cut(at) => {
-                    let line = &mut state.lines[at];
-                    if line.asked || line.stands {
-                        line.down.push_back(Down::Cut);
-                        line.cut = true;
+                    let connection = &mut state.connections[at];
+                    if connection.asked || connection.stands {
+                        connection.down.push_back(Down::Cut);
+                        connection.cut = true;
                     }
-                    (line.asked, line.stands) = (false, false);
-                    if !line.cut {
+                    (connection.asked, connection.stands) = (false, false);
+                    if !connection.cut {
                         clear.push(at);
                     }
                 }
                 Action::Answer(answer) => {
-                    let copies: u8 = state.lines.iter().map(|l| l.copies).sum();
-                    let offered = state.lines.iter().any(|l| l.down.contains(&Down::Offer));
-                    let known = state.lines.iter().filter(|l| l.stands).count() + usize::from(state.finished);
+                    let copies: u8 = state.connections.iter().map(|l| l.copies).sum();
+                    let offered = state.connections.iter().any(|l| l.down.contains(&Down::Offer));
+                    let known =
+                        state.connections.iter().filter(|l| l.stands).count() + usize::from(state.finished);
                     match answer {
-                        Answer::Placed if known < self.members => state.lie = Some("placed, and not whole"),
+                        Answer::Placed if known < self.members => {
+                            state.false_claim = Some("placed, but not all members run")
+                        }
                         Answer::Refused { .. } if copies > 0 || offered || state.finished > 0 => {
-                            state.lie = Some("refused, and something runs or ran");
+                            state.false_claim = Some("refused, but a member runs or has finished");
                         }
                         _ => {}
                     }
                     state.answers.push(answer);
                 }
                 Action::WakeAt(at) => {
-                    let step = (at * 1e3 / STEP_MS).ceil().min(f64::from(DEADLINE + 20)) as u32;
+                    let step = (at * 1e3 / STEP_MS).ceil().min(f64::from(DEADLINE_STEPS + 20)) as u32;
                     if !state.wakes.contains(&step) {
                         state.wakes.push(step);
                         state.wakes.sort_unstable();
@@ -167,30 +173,30 @@
             }
         }
         for member in clear {
-            self.hear(state, Event::Clear { member });
+            self.handle(state, Event::Clear { member });
         }
     }
 }
 
-impl Model for World {
+impl Model for GroupModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         let starts = (0..self.members).map(|at| 0.2 * at as f64).collect();
-        let mut group = Group::new(self.policy, seconds(DEADLINE), starts, 7);
+        let mut group = Group::new(self.policy, seconds(DEADLINE_STEPS), starts, 7);
         let mut actions = Vec::new();
         group.begin(0.0, &mut actions);
-        let lines = vec![Line::default(); self.members];
+        let connections = vec![Connection::default(); self.members];
         let (wakes, answers) = (Vec::new(), Vec::new());
         let mut state = State {
             group,
             now: 0,
             wakes,
-            lines,
+            connections,
             answers,
-            lie: None,
-            doubled: false,
+            false_claim: None,
+            runs_twice: false,
             cancelled: false,
             finished: 0,
         };
@@ -199,21 +205,21 @@
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        for (at, line) in state.lines.iter().enumerate() {
-            match line.down.front().filter(|_| !line.hangs) {
+        for (at, connection) in state.connections.iter().enumerate() {
+            match connection.down.front().filter(|_| !connection.hangs) {
                 Some(Down::Offer) => {
                     steps.extend([Up::Runs, Up::Refused, Up::Failed].map(|up| Step::Take(at, up)))
                 }
                 Some(Down::Cut) => steps.push(Step::Take(at, Up::Gone)),
                 None => {}
             }
-            if !line.up.is_empty() {
-                steps.push(Step::Hear(at));
+            if !connection.up.is_empty() {
+                steps.push(Step::Receive(at));
             }
-            if line.copies > 0 && !line.hangs {
+            if connection.copies > 0 && !connection.hangs {
                 steps.extend([Up::Ended, Up::Lost].map(|up| Step::End(at, up)));
             }
-            if self.hangs && (line.hangs || state.lines.iter().all(|l| !l.hangs)) {
+            if self.hangs && (connection.hangs || state.connections.iter().all(|l| !l.hangs)) {
                 steps.push(Step::Hang(at));
             }
         }
@@ -229,72 +235,73 @@
         let mut state = last.clone();
         match step {
             Step::Take(at, answer) => {
-                let line = &mut state.lines[at];
-                match (line.down.pop_front()?, answer) {
+                let connection = &mut state.connections[at];
+                match (connection.down.pop_front()?, answer) {
                     (Down::Offer, Up::Runs) => {
-                        line.copies += 1;
-                        state.doubled |= line.copies > 1;
-                        line.up.push_back(Up::Runs);
+                        connection.copies += 1;
+                        state.runs_twice |= connection.copies > 1;
+                        connection.up.push_back(Up::Runs);
                     }
-                    (Down::Offer, answer) => line.up.push_back(answer),
+                    (Down::Offer, answer) => connection.up.push_back(answer),
                     (Down::Cut, _) => {
-                        line.copies = 0;
-                        line.up.push_back(Up::Gone);
+                        connection.copies = 0;
+                        connection.up.push_back(Up::Gone);
                     }
                 }
             }
             Step::End(at, how) => {
-                let line = &mut state.lines[at];
-                line.copies = 0;
-                line.up.push_back(how);
+                let connection = &mut state.connections[at];
+                connection.copies = 0;
+                connection.up.push_back(how);
             }
-            Step::Hang(at) => state.lines[at].hangs = !state.lines[at].hangs,
-            Step::Hear(at) => {
-                // What the reducer makes of it: an answer to what was taken back is dropped, but proves the end.
-                let line = &mut state.lines[at];
-                let said = line.up.pop_front()?;
-                let (asked, stands, cut) = (line.asked, line.stands, line.cut);
-                let event = match said {
+            Step::Hang(at) => state.connections[at].hangs = !state.connections[at].hangs,
+            Step::Receive(at) => {
+                // As in the reducer, an answer to a withdrawn offer gives no event; the confirmed cut proves
+                // the end.
+                let connection = &mut state.connections[at];
+                let message = connection.up.pop_front()?;
+                let (asked, stands, cut) = (connection.asked, connection.stands, connection.cut);
+                let event = match message {
                     Up::Runs if asked => {
-                        (line.asked, line.stands) = (false, true);
+                        (connection.asked, connection.stands) = (false, true);
                         Some(Event::Stands { member: at })
                     }
                     Up::Refused if asked => {
-                        line.asked = false;
+                        connection.asked = false;
                         Some(Event::Refused { member: at, retry_in_s: 0.0 })
                     }
                     Up::Failed if asked => {
-                        line.asked = false;
+                        connection.asked = false;
                         Some(Event::Failed { member: at })
                     }
                     Up::Ended if stands => {
-                        line.stands = false;
+                        connection.stands = false;
                         state.finished += 1;
                         Some(Event::Finished { member: at })
                     }
                     Up::Lost if stands => {
-                        line.stands = false;
+                        connection.stands = false;
                         Some(Event::Lost { member: at })
                     }
                     Up::Gone if cut => {
-                        line.cut = false;
+                        connection.cut = false;
                         Some(Event::Clear { member: at })
                     }
                     _ => None,
                 };
                 if let Some(event) = event {
-                    self.hear(&mut state, event);
+                    self.handle(&mut state, event);
                 }
             }
             Step::Tick => {
                 state.now = state.wakes.iter().copied().find(|&at| at > state.now)?;
                 let now = state.now;
                 state.wakes.retain(|&at| at > now);
-                self.hear(&mut state, Event::Tick);
+                self.handle(&mut state, Event::Tick);
             }
             Step::Cancel => {
                 state.cancelled = true;
-                self.hear(&mut state, Event::Cancel);
+                self.handle(&mut state, Event::Cancel);
             }
         }
         Some(state)
@@ -303,20 +310,20 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one answer", |_, s: &State| s.answers.len() <= 1),
-            Property::always("placed means whole, refused is true", |_, s: &State| s.lie.is_none()),
-            Property::always("no member doubled", |_, s: &State| !s.doubled),
-            Property::always("no partial group stands for ever", |w: &World, s: &State| {
+            Property::always("placed and refused are true", |_, s: &State| s.false_claim.is_none()),
+            Property::always("no member runs twice", |_, s: &State| !s.runs_twice),
+            Property::always("no group stands in part for too long", |w: &GroupModel, s: &State| {
                 let g = &s.group;
                 let since = g.partial_since.filter(|_| g.phase == Phase::Placing);
                 since.is_none_or(|since| seconds(s.now) <= since + w.policy.partial_s)
             }),
             Property::always("an answer by the deadline", |_, s: &State| {
-                s.now < DEADLINE || !s.answers.is_empty()
+                s.now < DEADLINE_STEPS || !s.answers.is_empty()
             }),
-            Property::always("what was given up is told to go", |_, s: &State| {
+            Property::always("members of a group that was given up are cut", |_, s: &State| {
                 let over = s.group.phase == Phase::Over && !matches!(s.answers.first(), Some(Answer::Placed));
-                let runs = |l: &Line| l.copies > 0 && !l.down.contains(&Down::Cut);
-                !(over && s.lines.iter().any(runs))
+                let runs = |l: &Connection| l.copies > 0 && !l.down.contains(&Down::Cut);
+                !(over && s.connections.iter().any(runs))
             }),
             Property::sometimes("it can be placed", |_, s: &State| s.answers.contains(&Answer::Placed)),
             Property::sometimes("it can be refused", |_, s: &State| {
@@ -335,8 +342,8 @@
 }
 
 fn check(members: usize, on_loss: OnLoss, tries: u32, hangs: bool) {
-    let world = World { members, policy: policy(on_loss, tries), hangs };
-    let checker = world.checker().threads(2).spawn_bfs().join();
+    let model = GroupModel { members, policy: policy(on_loss, tries), hangs };
+    let checker = model.checker().threads(2).spawn_bfs().join();
     println!(
         "{members} members, {on_loss:?}, {tries} tries, hangs {hangs}: {} states",
         checker.unique_state_count()
@@ -344,7 +351,7 @@
     checker.assert_properties();
 }
 
-/// Guards the rules of groups against every order of events for two members on machines that answer.
+/// Checks the invariants under every order of events, for two members on machines that answer.
 #[test]
 fn two_members_under_every_order() {
     for on_loss in [OnLoss::Keep, OnLoss::Cut, OnLoss::Replace] {
@@ -352,7 +359,7 @@
     }
 }
 
-/// The same with a machine that hangs at any time, and goes on at any time.
+/// Checks the same with a machine that may hang and resume at any time.
 #[test]
 fn two_members_and_a_machine_that_hangs() {
     check(2, OnLoss::Cut, 1, true);
--- a/src/decide/groups/settings.rs
+++ b/src/decide/groups/settings.rs
@@ -1,39 +1,39 @@
-//! The section `groups` of the operators' file: what a group may ask for and how it is handled.
+//! The section `groups` of the operators' file: the bounds on groups, and how groups are handled.
 
 use super::{OnLoss, Policy};
 use crate::decide::limits::Pattern;
 use crate::document::{Item, Section};
 use crate::placer::Seconds;
 
-/// Milliseconds. The longest time that a group may stand in part.
-const MOST_PARTIAL_MS: f64 = 1000.0;
-/// Milliseconds. The longest that an answer may wait for the machines' word on cuts.
-const MOST_CUT_WAIT_MS: f64 = 1000.0;
-/// Milliseconds. The longest pause between two tries of a whole group.
-const MOST_PAUSE_MS: f64 = 60_000.0;
+/// Milliseconds. The largest `partialMs` that can be set.
+const MAX_PARTIAL_MS: f64 = 1000.0;
+/// Milliseconds. The largest `cutWaitMs` that can be set.
+const MAX_CUT_WAIT_MS: f64 = 1000.0;
+/// Milliseconds. The longest pause between two tries of a whole group that can be set.
+const MAX_PAUSE_MS: f64 = 60_000.0;
 /// Count. The most members that can be set.
-const MOST_MEMBERS: u64 = 256;
+const MAX_MEMBERS: u64 = 256;
 /// Count. The most tries of a whole group that can be set.
-const MOST_TRIES: u64 = 8;
+const MAX_TRIES: u64 = 8;
 /// Count. The most open groups that can be set.
-const MOST_OPEN: u64 = 100_000;
+const MAX_OPEN: u64 = 100_000;
 
-/// What holds for groups with members of a class.
+/// The figures for groups with members of a class or with certain services.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figures {
-    /// Members of one group.
+    /// The most members of one group.
     pub members: usize,
-    /// Seconds that a group may stand in part.
+    /// Seconds for which some, but not all, members may stand.
     pub partial_s: Seconds,
-    /// Seconds that an answer may wait for the machines' word on cuts.
+    /// Seconds that an answer may wait for machines to confirm cuts.
     pub cut_wait_s: Seconds,
-    /// Tries of the whole.
+    /// The most tries of the whole group.
     pub tries: u32,
     /// Seconds between two tries, least and most.
     pub pause_s: (Seconds, Seconds),
-    /// The most of the fleet that one group may ask for.
+    /// The largest share of the machines' room that one group may request.
     pub share: f64,
-    /// Members that may be placed again after a loss.
+    /// The most members that are placed again after a loss.
     pub replacements: u32,
 }
 
@@ -52,8 +52,8 @@
 }
 
 impl Figures {
-    /// The tighter of the two in each figure.
-    fn tighter(self, other: Figures) -> Figures {
+    /// Combines two sets of figures: the stricter value of each figure.
+    fn stricter(self, other: Figures) -> Figures {
         let wider = |a: (f64, f64), b: (f64, f64)| if a.0 + a.1 >= b.0 + b.1 { a } else { b };
         Figures {
             members: self.members.min(other.members),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What a group is handled by.
+    /// The policy of a group with these figures.
     pub fn policy(&self, on_loss: OnLoss) -> Policy {
         Policy {
             partial_s: self.partial_s,
@@ -79,33 +79,34 @@
     }
 }
 
-/// The whole section.
+/// The section `groups`.
 #[derive(Clone, Debug)]
 pub struct GroupSettings {
-    /// Groups that are open at once.
+    /// The most groups that are open at once.
     pub open: usize,
-    /// For all.
+    /// The figures for all groups.
     pub default: Figures,
-    /// By class of the settings.
+    /// Figures by class of the settings, where the file sets any.
     pub classes: Vec<Option<Figures>>,
-    /// For groups whose members all have such a service; the first that matches wins.
+    /// Figures for groups in which every member's service matches; the first match applies.
     pub routes: Vec<(Pattern, Figures)>,
 }
 
 impl GroupSettings {
-    /// What holds for a group with members of these classes and services: its route's, else the tightest of its
-    /// classes'.
+    /// The figures for a group with members of these classes and services: those of its route, else the
+    /// strictest of its classes.
     pub fn figures(&self, members: &[(usize, &str)]) -> Figures {
         let takes = |route: &&(Pattern, Figures)| members.iter().all(|(_, service)| route.0.matches(service));
         if let Some((_, figures)) = self.routes.iter().find(takes) {
             return *figures;
         }
         let of = |class: usize| self.classes.get(class).copied().flatten().unwrap_or(self.default);
-        members.iter().map(|(class, _)| of(*class)).reduce(Figures::tighter).unwrap_or(self.default)
+        members.iter().map(|(class, _)| of(*class)).reduce(Figures::stricter).unwrap_or(self.default)
     }
 }
 
-/// Reads the section; its faults go to the item's sink. `classes` are the names of the settings' classes.
+/// Reads the section; its faults go to the item's sink. `classes` are the class names in the order of the
+/// settings.
 pub fn read(item: &Item<'_>, classes: &[String]) -> Option<GroupSettings> {
     let section = item.section()?;
     let mut own = GroupSettings {
@@ -114,7 +115,7 @@
         classes: vec![None; classes.len()],
         routes: vec![],
     };
-    if let Some(open) = section.get("maxOpen").and_then(|i| i.count(1..=MOST_OPEN)) {
+    if let Some(open) = section.get("maxOpen").and_then(|i| i.count(1..=MAX_OPEN)) {
         own.open = open as usize;
     }
     if let Some(default) = section.get("default").and_then(|i| i.section()) {
@@ -136,7 +137,7 @@
         let of_route = figures(&route, own.default, &["service"]);
         let Some(service) = service.map(Pattern::new) else { continue };
         if own.routes.iter().any(|(before, _)| before.covers(&service)) {
-            item.fault("is never taken: a route before it takes all its services");
+            item.fault("is never used: a route before it matches all its services");
         }
         own.routes.push((service, of_route));
     }
@@ -144,39 +145,39 @@
     Some(own)
 }
 
-fn figures(section: &Section<'_>, from: Figures, more: &[&'static str]) -> Figures {
+fn figures(section: &Section<'_>, from: Figures, other_keys: &[&'static str]) -> Figures {
     let mut own = from;
     let count = |name, most| section.get(name).and_then(|i| i.count(1..=most));
-    if let Some(n) = count("maxMembers", MOST_MEMBERS) {
+    if let Some(n) = count("maxMembers", MAX_MEMBERS) {
         own.members = n as usize;
     }
-    if let Some(n) = count("tries", MOST_TRIES) {
+    if let Some(n) = count("tries", MAX_TRIES) {
         own.tries = n as u32;
     }
-    if let Some(n) = section.get("replacements").and_then(|i| i.count(0..=MOST_MEMBERS)) {
+    if let Some(n) = section.get("replacements").and_then(|i| i.count(0..=MAX_MEMBERS)) {
         own.replacements = n as u32;
     }
     let partial = section.get("partialMs");
     if let Some(ms) = partial.as_ref().and_then(|i| i.number()) {
-        if ms > MOST_PARTIAL_MS {
-            let rule = "no part of a group outlives a second";
+        if ms > MAX_PARTIAL_MS {
+            let rule = "a group is partly placed for at most one second";
             partial.as_ref().inspect(|i| i.breaks(format!("is {ms} ms"), rule));
-        } else if let Some(s) = partial.as_ref().and_then(|i| i.millis(MOST_PARTIAL_MS)) {
+        } else if let Some(s) = partial.as_ref().and_then(|i| i.millis(MAX_PARTIAL_MS)) {
             own.partial_s = s;
         }
     }
-    if let Some(s) = section.get("cutWaitMs").and_then(|i| i.millis(MOST_CUT_WAIT_MS)) {
+    if let Some(s) = section.get("cutWaitMs").and_then(|i| i.millis(MAX_CUT_WAIT_MS)) {
         own.cut_wait_s = s;
     }
     if let Some(share) = section.get("share").and_then(|i| i.positive(1.0, "")) {
         own.share = share;
     }
     if let Some(item) = section.get("pauseMs") {
-        if let Some((least, most)) = item.span_of(MOST_PAUSE_MS) {
+        if let Some((least, most)) = item.span_of(MAX_PAUSE_MS) {
             own.pause_s = (least / 1e3, most / 1e3);
         }
     }
-    for name in more {
+    for name in other_keys {
         section.get(name);
     }
     section.close(|_| None);
--- a/src/decide/groups/starts.rs
+++ b/src/decide/groups/starts.rs
@@ -1,17 +1,18 @@
-//! How long services take to start, as learned from answers: members that start slowly are sent first.
+//! How long services take to start, learned from answers: members that start slowly are submitted first. Also
+//! how fast running tasks end.
 
 use crate::placer::{Room, Seconds, ServiceId};
 use std::collections::BTreeMap;
 
-/// Count. Services that are remembered.
-const MOST: usize = 4096;
+/// Count. The most services whose start times are kept.
+const MAX_SERVICES: usize = 4096;
 /// Share. Weight of a new sample.
-const WEIGHT: f64 = 0.2;
-/// Seconds. The longest lead of a slow member over a quick one: a start that once took very long must not hold up a
-/// group for as long each time.
-const MOST_LEAD_S: Seconds = 2.0;
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// Seconds. The longest lead of a slow member over a quick one: one very long start must not delay each later
+/// group by as much.
+const MAX_LEAD_S: Seconds = 2.0;
 
-/// Mean times to start by service, and over all.
+/// Mean times to start, by service and over all services.
 #[derive(Debug, Default)]
 pub struct Starts {
     by_service: BTreeMap<ServiceId, (Seconds, Seconds)>,
@@ -19,28 +20,28 @@
 }
 
 impl Starts {
-    /// A task of a service stands so long after it was offered.
+    /// Records that a task of a service started `took_s` after it was offered.
     pub fn learn(&mut self, now: Seconds, service: ServiceId, took_s: Seconds) {
-        let took_s = took_s.clamp(0.0, MOST_LEAD_S);
+        let took_s = took_s.clamp(0.0, MAX_LEAD_S);
         let all = self.all.get_or_insert(took_s);
-        *all += WEIGHT * (took_s - *all);
-        if self.by_service.len() >= MOST && !self.by_service.contains_key(&service) {
-            // The one that was heard of the longest ago makes room.
+        *all += SAMPLE_WEIGHT * (took_s - *all);
+        if self.by_service.len() >= MAX_SERVICES && !self.by_service.contains_key(&service) {
+            // Evicts the service whose last sample is the oldest.
             let oldest = self.by_service.iter().min_by(|a, b| a.1 .1.total_cmp(&b.1 .1)).map(|(&s, _)| s);
             oldest.and_then(|oldest| self.by_service.remove(&oldest));
         }
-        let (mean, heard) = self.by_service.entry(service).or_insert((took_s, now));
-        *mean += WEIGHT * (took_s - *mean);
-        *heard = now;
+        let (mean, sampled_at) = self.by_service.entry(service).or_insert((took_s, now));
+        *mean += SAMPLE_WEIGHT * (took_s - *mean);
+        *sampled_at = now;
     }
 
-    /// How long a task of a service is expected to take.
+    /// Seconds that a task of a service is expected to take to start.
     pub fn expected(&self, service: ServiceId) -> Seconds {
         self.by_service.get(&service).map(|(mean, _)| *mean).or(self.all).unwrap_or(0.0)
     }
 }
 
-/// How fast standing tasks end, and what they ask for in the mean: the pace at which room comes free.
+/// How fast running tasks end, and the mean room that they use: the rate at which room comes free.
 #[derive(Debug, Default)]
 pub struct Ends {
     count: f64,
@@ -48,27 +49,27 @@
     mean: Room,
 }
 
-/// Seconds. Ends are counted over about this long.
-const ENDS_S: Seconds = 10.0;
+/// Seconds. Time constant of the exponential decay with which ends are counted.
+const DECAY_S: Seconds = 10.0;
 
 impl Ends {
-    /// A task that stood has ended.
+    /// Counts a running task that has ended.
     pub fn count(&mut self, now: Seconds, room: Room) {
-        self.count = self.faded(now) + 1.0;
+        self.count = self.decayed(now) + 1.0;
         self.at = now;
-        self.mean = self.mean * (1.0 - WEIGHT) + room * WEIGHT;
+        self.mean = self.mean * (1.0 - SAMPLE_WEIGHT) + room * SAMPLE_WEIGHT;
     }
 
-    fn faded(&self, now: Seconds) -> f64 {
-        self.count * (-(now - self.at).max(0.0) / ENDS_S).exp()
+    fn decayed(&self, now: Seconds) -> f64 {
+        self.count * (-(now - self.at).max(0.0) / DECAY_S).exp()
     }
 
-    /// Ends a second.
+    /// Ends per second.
     pub fn rate(&self, now: Seconds) -> f64 {
-        self.faded(now) / ENDS_S
+        self.decayed(now) / DECAY_S
     }
 
-    /// What they ask for in the mean.
+    /// The mean room of tasks that ended.
     pub fn mean(&self) -> Room {
         self.mean
     }
--- a/src/decide/limits/explain.rs
+++ b/src/decide/limits/explain.rs
@@ -1,4 +1,4 @@
-//! The file in words: the limits of a job and where each comes from, and what another file would change.
+//! Shows limits to operators: the limits of a job and where each comes from, and how two files differ.
 
 use super::gauges::{Budget, Rate};
 use super::model::{Figures, Model, Route};
@@ -11,18 +11,18 @@
 pub struct Line {
     /// Its name in the file.
     pub name: &'static str,
-    /// Its value in the words of the file.
+    /// Its value as written in the file.
     pub value: String,
-    /// Where it comes from.
+    /// The entry of the file that sets it, or `settings`.
     pub from: String,
 }
 
-/// Milliseconds in words.
+/// Formats a time as milliseconds, rounded to microseconds.
 fn ms(seconds: Seconds) -> String {
     format!("{}", (seconds * 1e6).round() / 1e3)
 }
 
-/// The figures of one place in the words of the file, by name.
+/// The figures of one entry as written in the file, by name.
 pub fn words(figures: &Figures) -> BTreeMap<&'static str, String> {
     let mut all = BTreeMap::new();
     let mut add = |name: &'static str, value: Option<String>| {
@@ -35,13 +35,13 @@
     add("totalMs", figures.total_s.map(ms));
     add("repeatWindowMs", figures.window_s.map(ms));
     add("pauseMs", figures.pause_s.map(|(least, most)| format!("[{}, {}]", ms(least), ms(most))));
-    add("secondCopy", figures.second_copy.map(|copy| format!("{:?}", copy.word())));
+    add("secondCopy", figures.second_copy.map(|copy| format!("{:?}", copy.spelling())));
     add("inFlight", figures.in_flight.map(|n| n.to_string()));
     add("ratePerS", figures.rate.map(|Rate { per_s, .. }| per_s.to_string()));
     add("burst", figures.rate.map(|Rate { burst, .. }| burst.to_string()));
     add("retryBudget", figures.budget.map(|Budget { share, .. }| share.to_string()));
     add("retryFloor", figures.budget.map(|Budget { floor, .. }| floor.to_string()));
-    add("scope", figures.scope.map(|scope| format!("{:?}", scope.word())));
+    add("scope", figures.scope.map(|scope| format!("{:?}", scope.spelling())));
     all
 }
 
@@ -59,10 +59,10 @@
     "retryFloor",
 ];
 
-/// What a place's scope is about.
+/// The figures to which an entry's scope applies.
 const COUNTED: [&str; 5] = ["inFlight", "ratePerS", "burst", "retryBudget", "retryFloor"];
 
-/// The route that a job takes, and each of its limits with the place that it comes from.
+/// The route that applies to a job, and each of the job's limits with the entry that it comes from.
 pub fn explain(
     table: &Table,
     subject: &Subject<'_>,
@@ -74,11 +74,12 @@
     let chain = Chain::new(model, subject.class, route);
     let class = &settings.classes[subject.class];
     let line = |name: &'static str| {
-        // What is divided among the planners is told with the figure, as the place's scope is not inherited.
-        let divided = COUNTED.contains(&name);
+        // The scope is shown with each figure that it applies to, as it belongs to that figure's entry and is
+        // not inherited.
+        let scoped = COUNTED.contains(&name);
         let found = chain.find(|figures| {
-            let word = words(figures).remove(name)?;
-            Some(if divided && figures.is_shared() { format!("{word} of the fleet") } else { word })
+            let spelling = words(figures).remove(name)?;
+            Some(if scoped && figures.is_shared() { format!("{spelling} of the fleet") } else { spelling })
         });
         let (value, from) = match found {
             Some((origin, value)) => (value, origin.name(model, classes)),
@@ -95,23 +96,23 @@
                 (value, "settings".into())
             }
         };
-        // What is inherited for a class that has no use for it.
-        let idle = name == "repeatWindowMs" && !matches!(class.effect, Effect::Keyed { .. });
+        // A repeat window that a class without keys inherits has no effect and is not shown.
+        let unused = name == "repeatWindowMs" && !matches!(class.effect, Effect::Keyed { .. });
         let forbidden = name == "secondCopy" && class.effect == Effect::Once;
         let value = if forbidden { "\"never\"".into() } else { value };
-        (!idle).then_some(Line { name, value, from })
+        (!unused).then_some(Line { name, value, from })
     };
     (route.map(|at| model.routes[at].name.to_string()), NAMES.iter().copied().filter_map(line).collect())
 }
 
-/// A route's match in the words of the file, by name.
+/// A route's conditions as written in the file, by name.
 pub fn matching(route: &Route, classes: &[String]) -> BTreeMap<&'static str, String> {
     let own = &route.matching;
     let span = |(least, most): (f64, f64)| format!("[{least}, {most}]");
     let all = [
-        ("front", own.front.map(|front| front.word().to_string())),
+        ("front", own.front.map(|front| front.spelling().to_string())),
         ("class", own.class.and_then(|at| classes.get(at).cloned())),
-        ("service", Some(own.service.word()).filter(|word| word != "*")),
+        ("service", Some(own.service.spelling()).filter(|spelling| spelling != "*")),
         ("zone", own.zone.clone()),
         ("cores", own.cores.map(span)),
         ("memory", own.memory.map(span)),
@@ -119,9 +120,10 @@
     all.into_iter().filter_map(|(name, value)| Some((name, value?))).collect()
 }
 
-/// What changes from one file to another, a line each: places that come and go, figures, matches, and the order.
+/// The differences between two files, one line each: entries added and removed, changed figures and
+/// conditions, and a changed order of routes.
 pub fn diff(old: &Model, new: &Model, classes: &[String]) -> Vec<String> {
-    let places = |model: &Model| {
+    let entries = |model: &Model| {
         let mut all: Vec<(String, BTreeMap<&'static str, String>)> =
             vec![("default".into(), words(&model.default))];
         all.extend(classes.iter().zip(&model.classes).map(|(name, f)| (format!("classes.{name}"), words(f))));
@@ -132,7 +134,7 @@
         }));
         all
     };
-    let (before, after) = (places(old), places(new));
+    let (before, after) = (entries(old), entries(new));
     let find = |list: &[(String, BTreeMap<&'static str, String>)]| -> BTreeMap<String, BTreeMap<&'static str, String>> {
         list.iter().cloned().collect()
     };
@@ -152,9 +154,9 @@
         for key in keys {
             let (a, b) = (was.get(key), own.get(key));
             if a != b {
-                let word =
+                let spelling =
                     |value: Option<&String>| value.map_or("(inherited)".to_string(), |v| v.to_string());
-                lines.push(format!("~ {name}.{key}: {} -> {}", word(a), word(b)));
+                lines.push(format!("~ {name}.{key}: {} -> {}", spelling(a), spelling(b)));
             }
         }
     }
--- a/src/decide/limits/file.rs
+++ b/src/decide/limits/file.rs
@@ -1,5 +1,6 @@
-//! Reads the section `limits` and holds it against the settings: every fault is told with its place and with the rule
-//! that it would break. The rules' figures are the settings', none is written here.
+//! Reads the section `limits` and validates it against the settings. Every fault is reported with its
+//! position in the file and with the rule that it would break. The bounds in these rules come from the
+//! settings; none is defined here.
 
 mod chains;
 mod overlaps;
@@ -14,29 +15,30 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Milliseconds. The longest time that can be set: an hour, as the REST front's longest deadline.
-const MOST_MS: f64 = 3_600_000.0;
-/// Count. The most jobs in flight, a second or in a burst that can be set.
-const MOST_COUNT: f64 = 1e6;
-/// Count. Routes of one file.
-const MOST_ROUTES: usize = 10_000;
-/// Bytes of a route's name, and of a service's pattern.
-const MOST_NAME: usize = 128;
-/// Count. Further tries in ten seconds that are paid for by nobody, where the file does not say.
-const FLOOR_FIRST: u32 = 3;
-/// Share. The most further tries for each first one.
-const MOST_SHARE: f64 = 10.0;
+/// Milliseconds. The longest time that can be set: one hour, the same as the longest deadline of the REST
+/// API.
+const MAX_MS: f64 = 3_600_000.0;
+/// Count. The largest value that can be set for jobs in flight, jobs per second and a burst.
+const MAX_COUNT: f64 = 1e6;
+/// Count. The most routes in one file.
+const MAX_ROUTES: usize = 10_000;
+/// Bytes. The longest name of a route, and the longest pattern for services.
+const MAX_NAME_BYTES: usize = 128;
+/// Count. The default of `retryFloor`: retries allowed within ten seconds regardless of first attempts.
+const DEFAULT_FLOOR: u32 = 3;
+/// Share. The largest value of `retryBudget`: retries per first attempt.
+const MAX_RETRY_BUDGET: f64 = 10.0;
 
-/// What a file is held against.
+/// What a file is validated against.
 #[derive(Clone, Copy)]
 pub struct Context<'a> {
     /// The settings in force.
     pub settings: &'a Settings,
-    /// The classes' names, in the settings' order.
+    /// The names of the classes, in the order of the settings.
     pub classes: &'a [String],
-    /// The zones' names.
+    /// The names of the zones.
     pub zones: &'a [String],
-    /// Seconds that a lease lasts in the fleet, where the file has one.
+    /// Seconds that a lease lasts in the fleet; `None` if the file configures no fleet.
     pub lease_s: Option<Seconds>,
 }
 
@@ -44,15 +46,15 @@
     list.iter().map(String::as_str).collect()
 }
 
-/// Where the figures of a place stand in the text, for faults that follow from several of them.
+/// The positions of an entry's figures in the text, for faults that involve several figures.
 #[derive(Clone, Default)]
-struct Spots {
+struct Positions {
     path: String,
-    whole: Range<usize>,
+    entry: Range<usize>,
     by_name: BTreeMap<&'static str, Range<usize>>,
 }
 
-impl Spots {
+impl Positions {
     fn span(&self, name: &str) -> Option<&Range<usize>> {
         self.by_name.get(name)
     }
@@ -61,29 +63,29 @@
 struct Reader<'a> {
     context: Context<'a>,
     faults: Vec<Fault>,
-    told: Vec<String>,
+    warnings: Vec<String>,
 }
 
-const TOGETHER: &str = "two attempts of a task are never out together";
+const NO_CONCURRENT_ATTEMPTS: &str = "two attempts of a task are never in flight at the same time";
 
-/// The rule that a name would break, should it be a wish for two attempts at once.
-fn wish(name: &str) -> Option<String> {
+/// The rule that an unknown key would break if its name asks for concurrent attempts.
+fn concurrency_rule(name: &str) -> Option<String> {
     let name = name.to_lowercase();
-    let wishes = ["hedge", "parallel", "speculat", "concurrent", "race", "simultan"];
-    wishes.iter().any(|w| name.contains(w)).then(|| TOGETHER.to_string())
+    let marks = ["hedge", "parallel", "speculat", "concurrent", "race", "simultan"];
+    marks.iter().any(|w| name.contains(w)).then(|| NO_CONCURRENT_ATTEMPTS.to_string())
 }
 
-/// Reads the section. Faults go to the item's sink; what is worth a word but no fault comes back beside the model.
+/// Reads the section. Faults go to the item's sink; warnings are returned beside the model.
 pub fn read(item: &Item<'_>, context: Context<'_>) -> (Model, Vec<String>) {
     let mut model = Model { classes: vec![Figures::default(); context.classes.len()], ..Model::default() };
     let Some(section) = item.section() else { return (model, Vec::new()) };
-    let mut reader = Reader { context, faults: Vec::new(), told: Vec::new() };
-    let mut spots: BTreeMap<Origin, Spots> = BTreeMap::new();
+    let mut reader = Reader { context, faults: Vec::new(), warnings: Vec::new() };
+    let mut positions: BTreeMap<Origin, Positions> = BTreeMap::new();
     if let Some(default) = section.get("default").and_then(|i| i.section()) {
         let (figures, at) = reader.figures(&default, &[]);
-        reader.bounds_of_default(&default, &figures);
+        reader.check_default_window(&default, &figures);
         model.default = figures;
-        spots.insert(Origin::Default, at);
+        positions.insert(Origin::Default, at);
     }
     if let Some(classes) = section.get("classes").and_then(|i| i.section()) {
         for (member, item) in classes.all() {
@@ -93,77 +95,80 @@
             };
             let Some(of_class) = item.section() else { continue };
             let (figures, at) = reader.figures(&of_class, &[]);
-            reader.effects(&of_class, &figures, &[class]);
+            reader.check_class_effects(&of_class, &figures, &[class]);
             model.classes[class] = figures;
-            spots.insert(Origin::Class(class), at);
+            positions.insert(Origin::Class(class), at);
         }
     }
     if let Some(routes) = section.get("routes").and_then(|i| i.list()) {
-        if routes.len() > MOST_ROUTES {
-            section.item().fault(format!("has {} routes; up to {MOST_ROUTES} are allowed", routes.len()));
+        if routes.len() > MAX_ROUTES {
+            section.item().fault(format!("has {} routes; up to {MAX_ROUTES} are allowed", routes.len()));
         }
         let mut seen = BTreeSet::new();
-        for item in routes.iter().take(MOST_ROUTES) {
+        for item in routes.iter().take(MAX_ROUTES) {
             let Some((route, at)) = reader.route(item) else { continue };
             if !seen.insert(route.name.clone()) {
                 item.fault(format!("is a second route named {:?}", route.name));
                 continue;
             }
-            spots.insert(Origin::Route(model.routes.len()), at);
+            positions.insert(Origin::Route(model.routes.len()), at);
             model.routes.push(route);
         }
     }
-    section.close(wish);
-    reader.chains(&model, &spots);
-    let mut told = reader.compare(&model, &spots);
-    told.append(&mut reader.told);
+    section.close(concurrency_rule);
+    reader.check_chains(&model, &positions);
+    let mut warnings = reader.compare_routes(&model, &positions);
+    warnings.append(&mut reader.warnings);
     for fault in reader.faults {
         item.sink().push(fault);
     }
-    (model, told)
+    (model, warnings)
 }
 
 impl<'a> Reader<'a> {
-    /// Reads the figures of one place; `more` names what else may stand there.
-    fn figures(&mut self, section: &Section<'_>, more: &[&'static str]) -> (Figures, Spots) {
-        let mut spots =
-            Spots { path: section.item().path().into(), whole: section.item().span(), ..Spots::default() };
+    /// Reads the figures of one entry; `other_keys` names the other keys that the entry may have.
+    fn figures(&mut self, section: &Section<'_>, other_keys: &[&'static str]) -> (Figures, Positions) {
+        let mut positions = Positions {
+            path: section.item().path().into(),
+            entry: section.item().span(),
+            ..Positions::default()
+        };
         let mut get = |name: &'static str| {
             let item = section.get(name);
             if let Some(item) = &item {
-                spots.by_name.insert(name, item.span());
+                positions.by_name.insert(name, item.span());
             }
             item
         };
-        let millis = |item: Option<Item<'_>>| item.and_then(|i| i.millis(MOST_MS));
-        let whole = |item: Option<Item<'_>>, least: u64| {
-            item.and_then(|i| i.count(least..=MOST_COUNT as u64)).map(|n| n as u32)
+        let millis = |item: Option<Item<'_>>| item.and_then(|i| i.millis(MAX_MS));
+        let integer = |item: Option<Item<'_>>, least: u64| {
+            item.and_then(|i| i.count(least..=MAX_COUNT as u64)).map(|n| n as u32)
         };
         let attempts = get("attempts").and_then(|item| self.attempts(&item));
         let (attempt_s, total_s) = (millis(get("attemptMs")), millis(get("totalMs")));
         let window_s = millis(get("repeatWindowMs"));
         let pause_s = get("pauseMs").and_then(|item| pause(&item));
         let second_copy = get("secondCopy").and_then(|item| second_copy(&item));
-        let in_flight = whole(get("inFlight"), 1);
-        let per_s = get("ratePerS").and_then(|i| i.positive(MOST_COUNT, " a second"));
+        let in_flight = integer(get("inFlight"), 1);
+        let per_s = get("ratePerS").and_then(|i| i.positive(MAX_COUNT, " a second"));
         let burst_at = get("burst");
-        let burst = burst_at.as_ref().and_then(|i| i.within(1.0..=MOST_COUNT, ""));
+        let burst = burst_at.as_ref().and_then(|i| i.within(1.0..=MAX_COUNT, ""));
         if let Some(item) = burst_at.filter(|_| section.get("ratePerS").is_none()) {
-            item.fault("means nothing without \"ratePerS\" beside it");
+            item.fault("has no effect without \"ratePerS\" beside it");
         }
-        let share = get("retryBudget").and_then(|i| i.within(0.0..=MOST_SHARE, ""));
+        let share = get("retryBudget").and_then(|i| i.within(0.0..=MAX_RETRY_BUDGET, ""));
         let floor_at = get("retryFloor");
-        let floor = whole(floor_at.clone(), 0);
+        let floor = integer(floor_at.clone(), 0);
         if let Some(item) = floor_at.filter(|_| section.get("retryBudget").is_none()) {
-            item.fault("means nothing without \"retryBudget\" beside it");
+            item.fault("has no effect without \"retryBudget\" beside it");
         }
         let scope_at = get("scope");
-        let words = [("planner", Scope::Planner), ("fleet", Scope::Fleet)];
-        let scope = scope_at.as_ref().and_then(|i| i.one_of(&words));
-        for name in more {
+        let values = [("planner", Scope::Planner), ("fleet", Scope::Fleet)];
+        let scope = scope_at.as_ref().and_then(|i| i.one_of(&values));
+        for name in other_keys {
             section.get(name);
         }
-        section.close(wish);
+        section.close(concurrency_rule);
         let figures = Figures {
             scope,
             attempts,
@@ -173,36 +178,38 @@
             pause_s,
             second_copy,
             in_flight,
-            // A burst that is not set is a second's worth.
+            // The default burst is the jobs of one second.
             rate: per_s.map(|per_s| Rate { per_s, burst: burst.unwrap_or(per_s.max(1.0)) }),
-            budget: share.map(|share| Budget { share, floor: floor.unwrap_or(FLOOR_FIRST) }),
+            budget: share.map(|share| Budget { share, floor: floor.unwrap_or(DEFAULT_FLOOR) }),
         };
         if let Some(item) = scope_at {
             if figures.in_flight.is_none() && figures.rate.is_none() && figures.budget.is_none() {
-                item.fault("means nothing without \"inFlight\", \"ratePerS\" or \"retryBudget\" beside it");
+                item.fault("has no effect without \"inFlight\", \"ratePerS\" or \"retryBudget\" beside it");
             }
             if figures.is_shared() {
-                self.shared(&item, section, &figures);
+                self.check_fleet_scope(&item, section, &figures);
             }
         }
-        (figures, spots)
+        (figures, positions)
     }
 
-    /// What is divided among planners has to be over before what a planner holds of it lapses.
-    fn shared(&mut self, item: &Item<'_>, section: &Section<'_>, figures: &Figures) {
+    /// Checks an entry whose limits are divided among planners: each use must end before the lease that
+    /// covers it expires.
+    fn check_fleet_scope(&mut self, item: &Item<'_>, section: &Section<'_>, figures: &Figures) {
         let Some(lease_s) = self.context.lease_s else {
-            return item.fault("means nothing without a section \"fleet\"");
+            return item.fault("has no effect without a section \"fleet\"");
         };
         let Some(rate) = figures.rate else { return };
         let place = section.get("ratePerS").unwrap_or_else(|| item.clone());
         match shared_rate(rate, lease_s) {
             None => place.fault(format!(
-                "is too slow to be divided under a lease of {} ms: {} a second or more, or a longer leaseMs",
+                "is too low to divide among planners with a lease of {} ms: \
+                 set {} a second or more, or a longer leaseMs",
                 lease_s * 1e3,
                 2.0 / lease_s
             )),
-            Some((units, _)) if (units as f64) < rate.burst.floor() => self.told.push(format!(
-                "{}: under a lease of {} ms the fleet lets {units} jobs come at once, not the burst of {}",
+            Some((units, _)) if (units as f64) < rate.burst.floor() => self.warnings.push(format!(
+                "{}: with a lease of {} ms the fleet admits bursts of {units} jobs, not of {}",
                 section.item().path(),
                 lease_s * 1e3,
                 rate.burst
@@ -230,25 +237,25 @@
         })
     }
 
-    fn bounds_of_default(&mut self, section: &Section<'_>, figures: &Figures) {
+    fn check_default_window(&mut self, section: &Section<'_>, figures: &Figures) {
         let Some(own) = figures.window_s else { return };
         let Some(item) = section.get("repeatWindowMs") else { return };
         match self.keyed_windows().min_by(|a, b| a.1.total_cmp(&b.1)) {
-            None => item.fault("means nothing: no class of the settings has keys"),
-            Some((class, window_s)) if own > window_s => self.window_broken(&item, own, class, window_s),
+            None => item.fault("has no effect: no class of the settings has keys"),
+            Some((class, window_s)) if own > window_s => self.report_long_window(&item, own, class, window_s),
             Some(_) => {}
         }
     }
 
-    fn window_broken(&self, item: &Item<'_>, own: Seconds, class: usize, window_s: Seconds) {
+    fn report_long_window(&self, item: &Item<'_>, own: Seconds, class: usize, window_s: Seconds) {
         let name = &self.context.classes[class];
         let rule =
             format!("repeats of class {name:?} end {window_s} s after its first send (repeat_window_s)");
         item.breaks(format!("is {} ms", own * 1e3), rule);
     }
 
-    /// What figures written for certain classes may not say.
-    fn effects(&self, section: &Section<'_>, figures: &Figures, classes: &[usize]) {
+    /// Checks figures that apply to the given classes against what the effects of these classes allow.
+    fn check_class_effects(&self, section: &Section<'_>, figures: &Figures, classes: &[usize]) {
         let all = |is: fn(&Effect) -> bool| {
             !classes.is_empty() && classes.iter().all(|&c| is(&self.context.settings.classes[c].effect))
         };
@@ -256,39 +263,39 @@
             if let Some(item) = section.get("secondCopy") {
                 item.breaks(
                     "asks for a second copy",
-                    "a class that must run once has none (idempotency \"once\")",
+                    "a task of a class with idempotency \"once\" is never sent again once it may have run",
                 );
             }
         }
         let (Some(own), Some(item)) = (figures.window_s, section.get("repeatWindowMs")) else { return };
         if all(|e| !matches!(e, Effect::Keyed { .. })) {
-            item.fault("means nothing for a class without keys");
+            item.fault("has no effect for a class without keys");
         }
         let shortest = self.keyed_windows().filter(|(at, _)| classes.contains(at));
         if let Some((class, window_s)) = shortest.min_by(|a, b| a.1.total_cmp(&b.1)) {
             if own > window_s {
-                self.window_broken(&item, own, class, window_s);
+                self.report_long_window(&item, own, class, window_s);
             }
         }
     }
 
-    fn route(&mut self, item: &Item<'_>) -> Option<(Route, Spots)> {
+    fn route(&mut self, item: &Item<'_>) -> Option<(Route, Positions)> {
         let section = item.section()?;
         let name = section.need("name").and_then(|i| {
             let name = i.text()?;
             let usual = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-            if name.len() > MOST_NAME || !name.chars().all(usual) {
-                i.fault(format!("must be up to {MOST_NAME} letters, digits, '-', '_' and '.'"));
+            if name.len() > MAX_NAME_BYTES || !name.chars().all(usual) {
+                i.fault(format!("must be up to {MAX_NAME_BYTES} letters, digits, '-', '_' and '.'"));
                 return None;
             }
             Some(Arc::from(name))
         });
         let matching = section.need("match").and_then(|i| self.matching(&i));
-        let (figures, spots) = self.figures(&section, &["name", "match"]);
+        let (figures, positions) = self.figures(&section, &["name", "match"]);
         let matching = matching?;
         let classes = self.classes_of(&matching);
-        self.effects(&section, &figures, &classes);
-        Some((Route { name: name?, matching, figures }, spots))
+        self.check_class_effects(&section, &figures, &classes);
+        Some((Route { name: name?, matching, figures }, positions))
     }
 
     fn classes_of(&self, matching: &Matching) -> Vec<usize> {
@@ -313,8 +320,8 @@
         let zone = known("zone", self.context.zones);
         let service = section.get("service").map(|i| {
             let text = i.text()?;
-            if text.len() > MOST_NAME {
-                i.fault(format!("has more than {MOST_NAME} bytes"));
+            if text.len() > MAX_NAME_BYTES {
+                i.fault(format!("is longer than {MAX_NAME_BYTES} bytes"));
                 return None;
             }
             Some(Pattern::new(text))
@@ -326,7 +333,8 @@
             size.close(|_| None);
         }
         section.close(|_| None);
-        // What was told as a fault must not make the route match more than was meant.
+        // A condition with a fault rejects the whole route: treating it as absent would make the route match
+        // more jobs than intended.
         Some(Matching {
             front: front.map_or(Some(None), |f| f.map(Some))?,
             class: class.map_or(Some(None), |c| c.map(Some))?,
@@ -339,20 +347,20 @@
 }
 
 fn second_copy(item: &Item<'_>) -> Option<SecondCopy> {
-    let words = [("never", SecondCopy::Never), ("after-give-up", SecondCopy::AfterGiveUp)];
+    let values = [("never", SecondCopy::Never), ("after-give-up", SecondCopy::AfterGiveUp)];
     let text = item.text()?;
     let together = ["together", "parallel", "hedged", "hedge", "immediately", "at-once", "always"];
     if together.contains(&text) {
-        item.breaks(format!("asks for a copy {text:?}"), TOGETHER);
+        item.breaks(format!("asks for a concurrent copy ({text:?})"), NO_CONCURRENT_ATTEMPTS);
         return None;
     }
-    item.one_of(&words)
+    item.one_of(&values)
 }
 
 fn pause(item: &Item<'_>) -> Option<(Seconds, Seconds)> {
-    item.span_of(MOST_MS).map(|(least, most)| (least / 1e3, most / 1e3))
+    item.span_of(MAX_MS).map(|(least, most)| (least / 1e3, most / 1e3))
 }
 
 fn span(item: &Item<'_>) -> Option<Span> {
-    item.span_of(MOST_COUNT)
+    item.span_of(MAX_COUNT)
 }
--- a/src/decide/limits/file/overlaps.rs
+++ b/src/decide/limits/file/overlaps.rs
@@ -1,24 +1,31 @@
-//! Routes held against each other: those that no job can take, and those that match the same jobs.
+//! Compares routes with each other: finds routes that no job can reach, and routes that match the same jobs.
 
-use super::{Reader, Spots};
+use super::{Positions, Reader};
 use crate::decide::limits::model::{Model, Pattern, Route};
 use crate::decide::limits::table::Origin;
 use crate::document::Fault;
 use std::collections::{BTreeMap, HashMap};
 
-/// Count. Up to so many routes are held against each other for ambiguity: the work grows with their square.
-const MOST_COMPARED: usize = 1000;
-/// Count. Ambiguous pairs that are told.
-const MOST_TOLD: usize = 10;
+/// Count. Only this many routes are compared with each other for ambiguity: the work grows with the square of
+/// their number.
+const MAX_COMPARED: usize = 1000;
+/// Count. Ambiguous pairs are listed until there are this many warnings.
+const MAX_WARNINGS: usize = 10;
 
 impl Reader<'_> {
-    /// Tells of routes that no job can take, and of pairs where a job may match both and their order decides. A route
-    /// that matches the very same as another is a fault.
-    pub(super) fn compare(&mut self, model: &Model, spots: &BTreeMap<Origin, Spots>) -> Vec<String> {
-        let mut told = Vec::new();
+    /// Returns a warning for each route that no job can reach, and for each pair of routes where a job may
+    /// match both, so that their order decides. A route that matches exactly the same jobs as another is a
+    /// fault.
+    pub(super) fn compare_routes(
+        &mut self,
+        model: &Model,
+        positions: &BTreeMap<Origin, Positions>,
+    ) -> Vec<String> {
+        let mut warnings = Vec::new();
         let mut ambiguous = 0;
         let routes = &model.routes;
-        // Only a route for the same service, a prefix of it, or a general one can cover another.
+        // A route can be covered only by a route for the same service, for a prefix of it, or by a general
+        // route.
         let mut exact: HashMap<&str, Vec<usize>> = HashMap::new();
         let mut prefix: HashMap<&str, Vec<usize>> = HashMap::new();
         let mut general: Vec<usize> = Vec::new();
@@ -29,33 +36,33 @@
                 Pattern::Glob(text, _) => text.split(['*', '?']).next().unwrap_or_default(),
                 Pattern::Any => "",
             };
-            let cuts = (0..=fixed.len()).filter(|&cut| fixed.is_char_boundary(cut));
-            let prefixes = cuts.filter_map(|cut| prefix.get(&fixed[..cut]));
+            let prefix_ends = (0..=fixed.len()).filter(|&end| fixed.is_char_boundary(end));
+            let prefixes = prefix_ends.filter_map(|end| prefix.get(&fixed[..end]));
             let before = exact.get(fixed).into_iter().chain(prefixes).flatten().chain(&general);
             let covering = before.filter(|&&first| routes[first].matching.covers(own)).min();
             if let Some(&first) = covering {
                 let other = &routes[first];
                 if own.covers(&other.matching) {
-                    let spot = spots.get(&Origin::Route(at)).cloned().unwrap_or_default();
-                    let what = format!("matches the very same as route {:?}", other.name);
-                    self.faults.push(Fault::new(spot.whole, &spot.path, what));
+                    let position = positions.get(&Origin::Route(at)).cloned().unwrap_or_default();
+                    let what = format!("matches exactly the same jobs as route {:?}", other.name);
+                    self.faults.push(Fault::new(position.entry, &position.path, what));
                 } else {
-                    told.push(format!(
-                        "route {:?} is never taken: route {:?} before it takes all that it matches",
+                    warnings.push(format!(
+                        "route {:?} is never used: route {:?} before it matches all its jobs",
                         route.name, other.name
                     ));
                 }
-            } else if at < MOST_COMPARED {
-                let meets = |first: &&Route| {
-                    first.matching.meets(own)
+            } else if at < MAX_COMPARED {
+                let overlaps = |first: &&Route| {
+                    first.matching.overlaps(own)
                         && !own.covers(&first.matching)
                         && first.figures != route.figures
                 };
-                let found: Vec<&Route> = routes[..at].iter().filter(meets).collect();
+                let found: Vec<&Route> = routes[..at].iter().filter(overlaps).collect();
                 ambiguous += found.len();
-                for first in found.iter().take(MOST_TOLD.saturating_sub(told.len())) {
-                    told.push(format!(
-                        "routes {:?} and {:?} may match the same job: the first one is taken",
+                for first in found.iter().take(MAX_WARNINGS.saturating_sub(warnings.len())) {
+                    warnings.push(format!(
+                        "routes {:?} and {:?} may match the same job: the first one is used",
                         first.name, route.name
                     ));
                 }
@@ -66,14 +73,14 @@
                 Pattern::Glob(..) | Pattern::Any => general.push(at),
             }
         }
-        if ambiguous > MOST_TOLD {
-            told.push(format!("{ambiguous} pairs of routes in all may match the same job"));
+        if ambiguous > MAX_WARNINGS {
+            warnings.push(format!("{ambiguous} pairs of routes in all may match the same job"));
         }
-        if routes.len() > MOST_COMPARED {
-            told.push(format!(
-                "only the first {MOST_COMPARED} routes were looked at for jobs that match two"
+        if routes.len() > MAX_COMPARED {
+            warnings.push(format!(
+                "only the first {MAX_COMPARED} routes were checked for jobs that match two routes"
             ));
         }
-        told
+        warnings
     }
 }
--- a/src/decide/limits/mod.rs
+++ b/src/decide/limits/mod.rs
@@ -1,16 +1,25 @@
-//! Limits per route or class: which route a job takes, whether it is taken in, whether a further try is paid for, and
-//! how long to stay away. Pure: time comes in, nothing goes out.
+//! Limits per route or class: which route applies to a job, whether the job is admitted, whether a retry is
+//! within budget, and after how long a rejected client should come back. The code is pure: it does no I/O,
+//! and the caller passes the time in.
 //!
-//! What must hold, and what holds it:
-//! - A job has the limits of the first route that matches, else of its class (`tests::an_index_finds_what_a_walk_finds`).
-//! - A file only narrows the settings: never more attempts, a longer window or a copy that the class's effects forbid
-//!   (`file`, `tests::what_is_resolved_never_exceeds_the_settings`, and the core's guards once more).
-//! - A rate lets through at most `burst + rate × span` in any span (`tests::a_rate_has_no_edge`).
-//! - A place in flight is given back once, whatever files came since (`tests::gauges_outlive_their_file_only_as_needed`).
-//! - Further tries never exceed `floor + share × first tries` of ten seconds (`tests::a_budget_bounds_a_storm`).
-//! - What a place with `scope: "fleet"` counts is divided among the planners, and none takes more than it holds
-//!   ([`crate::decide::budgets`]; `tests::a_shared_place_takes_what_its_share_allows`).
-//! - Gauges are kept for places in the file, and for those gone from it only while jobs hold them.
+//! An *entry* is one part of the limits file that can hold figures: `default`, one class, or one route.
+//! Counts are kept per entry.
+//!
+//! Invariants, and the code or test that covers each:
+//! - A job has the limits of the first route that matches, else of its class
+//!   (`tests::an_index_finds_what_a_walk_finds`).
+//! - A file only narrows the settings: it never allows more attempts, a longer window, or a second copy that
+//!   the class's effects forbid (`file`, `tests::what_is_resolved_never_exceeds_the_settings`; the core
+//!   checks it again).
+//! - A rate admits at most `burst + rate × span` jobs in any span (`tests::a_rate_has_no_edge`).
+//! - An in-flight slot is released exactly once, also across reloads of the file
+//!   (`tests::gauges_outlive_their_file_only_as_needed`).
+//! - Within ten seconds there are at most `floor + share × first attempts` retries
+//!   (`tests::a_budget_bounds_a_storm`).
+//! - The limits of an entry with `scope: "fleet"` are divided among the planners, and no planner uses more
+//!   than it holds ([`crate::decide::budgets`]; `tests::a_shared_entry_admits_what_its_share_allows`).
+//! - Gauges exist for the entries of the file in force; the gauges of removed entries are kept only while
+//!   jobs hold them.
 
 pub mod explain;
 mod file;
@@ -26,133 +35,135 @@
 use crate::decide::budgets::{Books, BudgetId, Kind, Use, Wanted};
 use crate::decide::fleet::Micros;
 use crate::placer::{Seconds, Settings};
-use gauges::{FlightGauge, RateGauge, TriesGauge, BUDGET_SPAN};
+use gauges::{FlightGauge, RateGauge, RetryGauge, BUDGET_SPAN_S};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The limit by which a job was turned away.
+/// The limit that rejected a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// Too many came.
+    /// The rate of jobs is exceeded.
     Rate,
-    /// Too many are in flight.
+    /// The number of jobs in flight is at its limit.
     InFlight,
-    /// Further tries are spent.
+    /// The retry budget is used up.
     RetryBudget,
 }
 
-/// A job that is turned away by a limit.
+/// The rejection of a job by a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Turned {
-    /// Which limit.
+    /// The limit that rejected it.
     pub why: Why,
-    /// Seconds after which to come back.
+    /// Seconds after which the client should try again.
     pub retry_in_s: Seconds,
 }
 
-/// What a job that was taken in holds; given back by [`Limits::over`].
+/// The counters that an admitted job holds; returned with [`Limits::over`].
 #[derive(Debug)]
 pub struct Ticket {
     since: Seconds,
     flight: Option<usize>,
     budget: Option<(usize, Budget)>,
-    /// Its unit of the fleet's jobs in flight.
-    share: Option<Use>,
+    /// The unit of the fleet's in-flight budget that the job uses.
+    fleet_use: Option<Use>,
 }
 
-/// Seconds. A job is answered so long after its deadline at the latest, by the core's own guard.
-const ANSWERED_WITHIN_S: Seconds = 0.1;
+/// Seconds. The core answers every job at most this long after its deadline.
+const ANSWER_MARGIN_S: Seconds = 0.1;
 
-/// Microseconds of the planner's clock.
+/// Converts a time or duration in seconds to the planner's microseconds; negative values become 0.
 pub fn micros(at: Seconds) -> Micros {
     (at.max(0.0) * 1e6) as Micros
 }
 
-/// What a rate comes to where it is divided among planners under such a lease: units, and the microseconds that a job
-/// holds one. The burst is the units, or fewer, so that each is free again within half a lease; nothing where not even one
-/// is.
+/// Converts a rate to a budget that can be divided among planners: the number of units, and the microseconds
+/// for which a job holds one. There are as many units as the burst allows, or fewer, so that each is free
+/// again within half a lease. Returns `None` if the rate is too low for even one unit.
 pub fn shared_rate(rate: Rate, lease_s: Seconds) -> Option<(u64, Micros)> {
     let units = rate.burst.min(rate.per_s * lease_s / 2.0).floor();
     (units >= 1.0).then(|| (units as u64, micros(units / rate.per_s).max(1)))
 }
 
-/// The fleet's budgets at a place.
+/// The fleet-wide budgets of an entry.
 #[derive(Clone, Copy, Debug, Default)]
-struct Shares {
+struct FleetBudgets {
     flight: Option<BudgetId>,
     rate: Option<BudgetId>,
     floor: Option<BudgetId>,
 }
 
-/// The gauges of one place.
+/// The gauges of one entry.
 #[derive(Debug)]
 struct Gauge {
-    /// The place by name, where a file in force names it.
+    /// The entry's name; `None` once the file in force no longer has the entry.
     name: Option<Arc<str>>,
     rate: RateGauge,
     flight: FlightGauge,
-    tries: TriesGauge,
-    /// Tickets that name it.
-    held: usize,
-    /// What of it is divided among the planners.
-    shares: Shares,
+    tries: RetryGauge,
+    /// Open tickets that refer to this gauge.
+    tickets: usize,
+    /// Those of its limits that are divided among the planners.
+    fleet_budgets: FleetBudgets,
 }
 
-/// A place's gauges as they stand.
+/// The current counts of an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reading {
-    /// The place.
+    /// The entry's name.
     pub name: Arc<str>,
     /// Jobs in flight.
     pub in_flight: u32,
-    /// First tries of the last ten seconds.
+    /// First attempts in the last ten seconds.
     pub first_tries: u32,
-    /// Further tries of the last ten seconds.
+    /// Retries in the last ten seconds.
     pub further_tries: u32,
 }
 
-/// The limits in force and what is counted against them.
+/// The limits in force and the counts against them.
 #[derive(Debug)]
 pub struct Limits {
     table: Arc<Table>,
     gauges: Vec<Option<Gauge>>,
     free: Vec<usize>,
     by_name: BTreeMap<Arc<str>, usize>,
-    /// Gauges by place of the table in force: the default's, the classes', the routes'.
-    slots: Vec<Option<usize>>,
+    /// Index into `gauges` for each entry of the table in force: the default, then the classes, then the
+    /// routes.
+    gauge_indices: Vec<Option<usize>>,
     classes: Arc<[String]>,
     books: Option<Books>,
 }
 
 impl Limits {
-    /// No file: the settings alone. `classes` are the names of the classes, in their order.
+    /// Creates limits without a file: the settings alone apply. `classes` are the class names in the order of
+    /// the settings.
     pub fn new(settings: &Settings, classes: Vec<String>) -> Limits {
         let table = Arc::new(Table::new(Model::default(), settings, None));
-        let (gauges, free, by_name, slots) = Default::default();
-        Limits { table, gauges, free, by_name, slots, classes: classes.into(), books: None }
+        let (gauges, free, by_name, gauge_indices) = Default::default();
+        Limits { table, gauges, free, by_name, gauge_indices, classes: classes.into(), books: None }
     }
 
-    /// The file in force.
+    /// The compiled file in force.
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// Gauges that are kept, also for places that are gone.
+    /// The number of gauges, including those of removed entries that jobs still hold.
     pub fn kept(&self) -> usize {
         self.gauges.len() - self.free.len()
     }
 
-    /// Takes part in a fleet; to be told before the first file.
+    /// Joins a fleet; call this before the first [`Limits::swap`].
     pub fn join(&mut self, books: Books) {
         self.books = Some(books);
     }
 
-    /// The planner's part in its fleet, where it is in one.
+    /// The planner's books of the fleet's budgets, if it is part of a fleet.
     pub fn books(&mut self) -> Option<&mut Books> {
         self.books.as_mut()
     }
 
-    fn index(&self, origin: Origin) -> usize {
+    fn entry_index(&self, origin: Origin) -> usize {
         match origin {
             Origin::Default => 0,
             Origin::Class(at) => 1 + at,
@@ -160,33 +171,34 @@
         }
     }
 
-    fn slot(&self, origin: Origin) -> Option<usize> {
-        self.slots.get(self.index(origin)).copied().flatten()
+    fn gauge_index(&self, origin: Origin) -> Option<usize> {
+        self.gauge_indices.get(self.entry_index(origin)).copied().flatten()
     }
 
-    /// Puts a file in force. What is counted at places that it names goes on; the rest is let go once no job holds it.
+    /// Puts a file in force. Entries that the new file also has keep their counts; the other gauges are
+    /// removed once no job holds them.
     pub fn swap(&mut self, now: Seconds, table: Arc<Table>) {
         let mut names = std::mem::take(&mut self.by_name);
-        let places = 1 + self.classes.len() + table.model().routes.len();
-        self.slots = vec![None; places];
+        let entries = 1 + self.classes.len() + table.model().routes.len();
+        self.gauge_indices = vec![None; entries];
         let mut wanted = Vec::new();
-        for origin in table.counted() {
+        for origin in table.counted_origins() {
             let name: Arc<str> = origin.name(table.model(), &self.classes).into();
-            let shares =
-                table.figures(origin).map(|f| self.shares(&name, f, &mut wanted)).unwrap_or_default();
-            let slot = names.remove(&name).unwrap_or_else(|| self.book(name.clone()));
-            let at = self.index(origin);
-            self.slots[at] = Some(slot);
-            if let Some(gauge) = self.gauge(slot) {
-                gauge.shares = shares;
+            let fleet_budgets =
+                table.figures(origin).map(|f| self.fleet_budgets(&name, f, &mut wanted)).unwrap_or_default();
+            let gauge_index = names.remove(&name).unwrap_or_else(|| self.add_gauge(name.clone()));
+            let at = self.entry_index(origin);
+            self.gauge_indices[at] = Some(gauge_index);
+            if let Some(gauge) = self.gauge(gauge_index) {
+                gauge.fleet_budgets = fleet_budgets;
             }
-            self.by_name.insert(name, slot);
+            self.by_name.insert(name, gauge_index);
         }
-        for slot in names.into_values() {
-            if let Some(gauge) = self.gauges[slot].as_mut() {
+        for gauge_index in names.into_values() {
+            if let Some(gauge) = self.gauges[gauge_index].as_mut() {
                 gauge.name = None;
             }
-            self.let_go(slot);
+            self.remove_if_unused(gauge_index);
         }
         self.table = table;
         if let Some(books) = &mut self.books {
@@ -194,35 +206,42 @@
         }
     }
 
-    /// The budgets that a place divides among the planners.
-    fn shares(&self, place: &Arc<str>, figures: &Figures, wanted: &mut Vec<Wanted>) -> Shares {
+    /// The budgets of an entry that are divided among the planners; adds each to `wanted`.
+    fn fleet_budgets(&self, place: &Arc<str>, figures: &Figures, wanted: &mut Vec<Wanted>) -> FleetBudgets {
         let Some(books) = self.books.as_ref().filter(|_| figures.is_shared()) else {
-            return Shares::default();
+            return FleetBudgets::default();
         };
         let lease_s = books.fleet().terms().lease as f64 / 1e6;
         let mut want = |kind: Kind, whole: u64, hold: Micros| {
             wanted.push(Wanted { place: place.clone(), kind, whole, hold });
             kind.id(place)
         };
-        // A rate too slow for the lease in force is let through nowhere; the file's reader tells of it.
+        // A rate too low for the lease in force admits no job; reading the file reports this as a fault.
         let rate = figures.rate.map(|rate| shared_rate(rate, lease_s).unwrap_or((0, 1)));
-        Shares {
+        FleetBudgets {
             flight: figures.in_flight.map(|most| want(Kind::InFlight, u64::from(most), 0)),
             rate: rate.map(|(units, hold)| want(Kind::Rate, units, hold)),
             floor: figures
                 .budget
-                .map(|b| want(Kind::RetryFloor, u64::from(b.floor), micros(BUDGET_SPAN as f64))),
+                .map(|b| want(Kind::RetryFloor, u64::from(b.floor), micros(BUDGET_SPAN_S as f64))),
         }
     }
 
-    fn book(&mut self, name: Arc<str>) -> usize {
+    fn add_gauge(&mut self, name: Arc<str>) -> usize {
         let (rate, flight, tries) = Default::default();
-        let gauge = Some(Gauge { name: Some(name), rate, flight, tries, held: 0, shares: Shares::default() });
+        let gauge = Some(Gauge {
+            name: Some(name),
+            rate,
+            flight,
+            tries,
+            tickets: 0,
+            fleet_budgets: FleetBudgets::default(),
+        });
         match self.free.pop() {
-            Some(slot) => {
-                debug_assert!(self.gauges[slot].is_none(), "a free slot holds nothing");
-                self.gauges[slot] = gauge;
-                slot
+            Some(gauge_index) => {
+                debug_assert!(self.gauges[gauge_index].is_none(), "a free index holds no gauge");
+                self.gauges[gauge_index] = gauge;
+                gauge_index
             }
             None => {
                 self.gauges.push(gauge);
@@ -231,149 +250,154 @@
         }
     }
 
-    fn let_go(&mut self, slot: usize) {
-        if self.gauges[slot].as_ref().is_some_and(|g| g.name.is_none() && g.held == 0) {
-            self.gauges[slot] = None;
-            self.free.push(slot);
+    fn remove_if_unused(&mut self, gauge_index: usize) {
+        if self.gauges[gauge_index].as_ref().is_some_and(|g| g.name.is_none() && g.tickets == 0) {
+            self.gauges[gauge_index] = None;
+            self.free.push(gauge_index);
         }
     }
 
-    fn gauge(&mut self, slot: usize) -> Option<&mut Gauge> {
-        self.gauges.get_mut(slot).and_then(Option::as_mut)
+    fn gauge(&mut self, gauge_index: usize) -> Option<&mut Gauge> {
+        self.gauges.get_mut(gauge_index).and_then(Option::as_mut)
     }
 
-    /// The limits of a job.
+    /// Finds the limits that apply to a job.
     pub fn resolve(&self, subject: &Subject<'_>) -> Option<Arc<Resolved>> {
         self.table.resolve(subject).cloned()
     }
 
-    /// Takes a job in that is over by then, or turns it away: a place in flight first, as it is given back where the rate
-    /// says no.
+    /// Admits a job that ends by `until`, or rejects it. The in-flight slot is taken before the rate is
+    /// checked, because the slot can be returned if the rate rejects the job.
     ///
     /// # Errors
-    /// The limit that turns it away.
+    /// The limit that rejects the job.
     pub fn admit(&mut self, now: Seconds, of: &Resolved, until: Seconds) -> Result<Option<Ticket>, Turned> {
         if of.is_uncounted() {
             return Ok(None);
         }
-        let flight = of.in_flight.and_then(|(origin, most)| Some((self.slot(origin)?, most)));
-        let share = match flight {
-            Some((slot, most)) => self.take_flight(now, slot, most, until)?,
+        let flight = of.in_flight.and_then(|(origin, most)| Some((self.gauge_index(origin)?, most)));
+        let fleet_use = match flight {
+            Some((gauge_index, most)) => self.take_flight(now, gauge_index, most, until)?,
             None => None,
         };
-        if let Some((slot, rate)) = of.rate.and_then(|(origin, rate)| Some((self.slot(origin)?, rate))) {
-            if let Err(retry_in_s) = self.take_rate(now, slot, rate) {
-                if let Some(gauge) = flight.and_then(|(slot, _)| self.gauge(slot)) {
+        if let Some((gauge_index, rate)) =
+            of.rate.and_then(|(origin, rate)| Some((self.gauge_index(origin)?, rate)))
+        {
+            if let Err(retry_in_s) = self.take_rate(now, gauge_index, rate) {
+                if let Some(gauge) = flight.and_then(|(gauge_index, _)| self.gauge(gauge_index)) {
                     gauge.flight.put_back();
                 }
-                if let (Some(books), Some(share)) = (self.books.as_mut(), share) {
-                    books.put_back(share);
+                if let (Some(books), Some(fleet_use)) = (self.books.as_mut(), fleet_use) {
+                    books.put_back(fleet_use);
                 }
                 return Err(Turned { why: Why::Rate, retry_in_s });
             }
         }
-        let budget = of.budget.and_then(|(origin, budget)| Some((self.slot(origin)?, budget)));
-        let flight = flight.map(|(slot, _)| slot);
-        for slot in flight.into_iter().chain(budget.map(|(slot, _)| slot)) {
-            if let Some(gauge) = self.gauge(slot) {
-                gauge.held += 1;
+        let budget = of.budget.and_then(|(origin, budget)| Some((self.gauge_index(origin)?, budget)));
+        let flight = flight.map(|(gauge_index, _)| gauge_index);
+        for gauge_index in flight.into_iter().chain(budget.map(|(gauge_index, _)| gauge_index)) {
+            if let Some(gauge) = self.gauge(gauge_index) {
+                gauge.tickets += 1;
             }
         }
-        Ok(Some(Ticket { since: now, flight, budget, share }))
+        Ok(Some(Ticket { since: now, flight, budget, fleet_use }))
     }
 
-    /// A unit of one of the fleet's budgets for so long, or the seconds after which one may come free here.
+    /// Takes a unit of one of the fleet's budgets for `lasting` seconds. If none is free, returns the seconds
+    /// after which this planner may have one.
     fn take(&mut self, now: Seconds, id: BudgetId, lasting: Seconds) -> Result<Option<Use>, Seconds> {
         let Some(books) = self.books.as_mut() else { return Ok(None) };
-        // No lease lasts as long.
+        // Capped to a time longer than any lease, so that an infinite time can be converted.
         let lasting = micros(lasting.min(1e6));
-        books.take(micros(now), id, lasting).map_err(|away| away as f64 / 1e6)
+        books.take(micros(now), id, lasting).map_err(|retry_after| retry_after as f64 / 1e6)
     }
 
     fn take_flight(
         &mut self,
         now: Seconds,
-        slot: usize,
+        gauge_index: usize,
         most: u32,
         until: Seconds,
     ) -> Result<Option<Use>, Turned> {
-        let turned = |retry_in_s| Turned { why: Why::InFlight, retry_in_s };
-        let shared = self.gauge(slot).and_then(|g| g.shares.flight);
-        let taken = shared.map(|id| self.take(now, id, until + ANSWERED_WITHIN_S - now));
-        let Some(gauge) = self.gauge(slot) else { return Ok(None) };
+        let rejection = |retry_in_s| Turned { why: Why::InFlight, retry_in_s };
+        let fleet_budget = self.gauge(gauge_index).and_then(|g| g.fleet_budgets.flight);
+        let taken = fleet_budget.map(|id| self.take(now, id, until + ANSWER_MARGIN_S - now));
+        let Some(gauge) = self.gauge(gauge_index) else { return Ok(None) };
         match taken {
-            None => gauge.flight.take(now, most).map(|()| None).map_err(turned),
-            // What is divided is counted here, too, for those who look.
-            Some(Ok(share)) => gauge.flight.take(now, u32::MAX).map(|()| share).map_err(turned),
-            Some(Err(step)) => Err(turned(gauge.flight.away(now, step))),
+            None => gauge.flight.take(now, most).map(|()| None).map_err(rejection),
+            // Fleet-wide jobs are counted in the local gauge, too, so that readings show them.
+            Some(Ok(fleet_use)) => gauge.flight.take(now, u32::MAX).map(|()| fleet_use).map_err(rejection),
+            Some(Err(step)) => Err(rejection(gauge.flight.retry_after(now, step))),
         }
     }
 
-    fn take_rate(&mut self, now: Seconds, slot: usize, rate: Rate) -> Result<(), Seconds> {
-        let shared = self.gauge(slot).and_then(|g| g.shares.rate);
-        let taken = shared.map(|id| self.take(now, id, 0.0));
-        let Some(gauge) = self.gauge(slot) else { return Ok(()) };
+    fn take_rate(&mut self, now: Seconds, gauge_index: usize, rate: Rate) -> Result<(), Seconds> {
+        let fleet_budget = self.gauge(gauge_index).and_then(|g| g.fleet_budgets.rate);
+        let taken = fleet_budget.map(|id| self.take(now, id, 0.0));
+        let Some(gauge) = self.gauge(gauge_index) else { return Ok(()) };
         match taken {
             None => gauge.rate.take(now, rate),
             Some(Ok(_)) => Ok(()),
-            Some(Err(step)) => Err(gauge.rate.away(now, step)),
+            Some(Err(step)) => Err(gauge.rate.retry_after(now, step)),
         }
     }
 
-    /// A first try goes out.
+    /// Counts a job's first attempt.
     pub fn first_try(&mut self, now: Seconds, ticket: &Ticket) {
-        if let Some(gauge) = ticket.budget.and_then(|(slot, _)| self.gauge(slot)) {
-            gauge.tries.first(now);
+        if let Some(gauge) = ticket.budget.and_then(|(gauge_index, _)| self.gauge(gauge_index)) {
+            gauge.tries.count_first(now);
         }
     }
 
-    /// Whether a further try would be paid for now; nothing is counted.
+    /// Checks whether a retry would be within the budget now, without counting it.
     pub fn affords(&mut self, now: Seconds, ticket: &Ticket) -> Result<(), Turned> {
-        self.pay(now, ticket, TriesGauge::affords)
+        self.check_budget(now, ticket, RetryGauge::can_retry)
     }
 
-    /// A further try is to go out: counts it, or tells that it is not paid for.
+    /// Counts a retry that is about to be sent, or rejects it if the budget is used up.
     pub fn further_try(&mut self, now: Seconds, ticket: &Ticket) -> Result<(), Turned> {
-        self.pay(now, ticket, TriesGauge::further)
+        self.check_budget(now, ticket, RetryGauge::take_retry)
     }
 
-    fn pay(
+    fn check_budget(
         &mut self,
         now: Seconds,
         ticket: &Ticket,
-        how: fn(&mut TriesGauge, Seconds, Budget) -> bool,
+        check: fn(&mut RetryGauge, Seconds, Budget) -> bool,
     ) -> Result<(), Turned> {
-        let Some((slot, mut budget)) = ticket.budget else { return Ok(()) };
-        let shared = self.gauge(slot).and_then(|g| g.shares.floor);
-        if let (Some(id), Some(books)) = (shared, &self.books) {
-            // First tries pay at the planner that makes them; what nobody pays for is divided.
+        let Some((gauge_index, mut budget)) = ticket.budget else { return Ok(()) };
+        let fleet_budget = self.gauge(gauge_index).and_then(|g| g.fleet_budgets.floor);
+        if let (Some(id), Some(books)) = (fleet_budget, &self.books) {
+            // First attempts count towards the budget of the planner that makes them; only the floor is
+            // divided.
             budget.floor = u32::try_from(books.floor(micros(now), id)).unwrap_or(u32::MAX);
         }
-        let Some(gauge) = self.gauge(slot) else { return Ok(()) };
-        if how(&mut gauge.tries, now, budget) {
+        let Some(gauge) = self.gauge(gauge_index) else { return Ok(()) };
+        if check(&mut gauge.tries, now, budget) {
             return Ok(());
         }
-        Err(Turned { why: Why::RetryBudget, retry_in_s: gauge.tries.away(now, budget) })
+        Err(Turned { why: Why::RetryBudget, retry_in_s: gauge.tries.retry_after(now, budget) })
     }
 
-    /// A job has its final answer.
+    /// Returns a job's ticket once the job has its final answer.
     pub fn over(&mut self, now: Seconds, ticket: Ticket) {
-        if let (Some(books), Some(share)) = (self.books.as_mut(), ticket.share) {
-            books.give_back(micros(now), share);
+        if let (Some(books), Some(fleet_use)) = (self.books.as_mut(), ticket.fleet_use) {
+            books.give_back(micros(now), fleet_use);
         }
-        if let Some(gauge) = ticket.flight.and_then(|slot| self.gauge(slot)) {
+        if let Some(gauge) = ticket.flight.and_then(|gauge_index| self.gauge(gauge_index)) {
             gauge.flight.give_back(now - ticket.since);
         }
-        for slot in ticket.flight.into_iter().chain(ticket.budget.map(|(slot, _)| slot)) {
-            if let Some(gauge) = self.gauge(slot) {
-                debug_assert!(gauge.held > 0, "a ticket is given back once");
-                gauge.held = gauge.held.saturating_sub(1);
+        for gauge_index in ticket.flight.into_iter().chain(ticket.budget.map(|(gauge_index, _)| gauge_index))
+        {
+            if let Some(gauge) = self.gauge(gauge_index) {
+                debug_assert!(gauge.tickets > 0, "a ticket is returned once");
+                gauge.tickets = gauge.tickets.saturating_sub(1);
             }
-            self.let_go(slot);
+            self.remove_if_unused(gauge_index);
         }
     }
 
-    /// What is counted now, by place.
+    /// The current counts of all entries of the file in force.
     pub fn readings(&mut self, now: Seconds) -> Vec<Reading> {
         let reading = |gauge: &mut Gauge| {
             let (first_tries, further_tries) = gauge.tries.counts(now);
--- a/src/decide/limits/model.rs
+++ b/src/decide/limits/model.rs
@@ -1,11 +1,12 @@
-//! The section `limits` as it was written: figures by default, class and route, and what a route matches.
+//! The section `limits` as written in the file: the figures of the default, the classes and the routes, and
+//! which jobs a route matches.
 
 use super::gauges::{Budget, Rate};
 use crate::placer::{Room, Seconds};
 use std::sync::Arc;
 use wildmatch::WildMatch;
 
-/// The fronts that jobs come through.
+/// The interfaces through which clients submit jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Front {
     /// The platform's protocol.
@@ -15,8 +16,8 @@
 }
 
 impl Front {
-    /// Its name in the file.
-    pub fn word(self) -> &'static str {
+    /// Its name in the limits file.
+    pub fn spelling(self) -> &'static str {
         match self {
             Front::Platform => "platform",
             Front::Rest => "rest",
@@ -29,13 +30,13 @@
 pub enum SecondCopy {
     /// Never.
     Never,
-    /// Once the first is given up, where the class's effects allow it.
+    /// Once the first attempt is given up, if the class's effects allow it.
     AfterGiveUp,
 }
 
 impl SecondCopy {
-    /// Its word in the file.
-    pub fn word(self) -> &'static str {
+    /// Its value in the limits file.
+    pub fn spelling(self) -> &'static str {
         match self {
             SecondCopy::Never => "never",
             SecondCopy::AfterGiveUp => "after-give-up",
@@ -43,18 +44,18 @@
     }
 }
 
-/// Among whom what a place counts is divided.
+/// Which planners share the limits of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Each planner counts alone.
+    /// Each planner applies the limits by itself.
     Planner,
-    /// All planners of the fleet together.
+    /// All planners of the fleet share the limits.
     Fleet,
 }
 
 impl Scope {
-    /// Its word in the file.
-    pub fn word(self) -> &'static str {
+    /// Its value in the limits file.
+    pub fn spelling(self) -> &'static str {
         match self {
             Scope::Planner => "planner",
             Scope::Fleet => "fleet",
@@ -62,53 +63,54 @@
     }
 }
 
-/// The figures of one place in the file; what is absent is inherited.
+/// The figures of one entry of the file; a figure that is absent is inherited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
-    /// Attempts.
+    /// The most attempts of a job.
     pub attempts: Option<u32>,
     /// Seconds that one attempt may take.
     pub attempt_s: Option<Seconds>,
-    /// Seconds from the ask to the final answer.
+    /// Seconds from the request to the final answer.
     pub total_s: Option<Seconds>,
-    /// Seconds from the first send that may have run to the last.
+    /// Seconds between the first and the last send of a job, from the first attempt that may have run.
     pub window_s: Option<Seconds>,
     /// Seconds of pause after a refusal, least and most.
     pub pause_s: Option<(Seconds, Seconds)>,
-    /// Whether it may be sent again once it may have run.
+    /// Whether a job may be sent again once an attempt of it may have run.
     pub second_copy: Option<SecondCopy>,
-    /// Jobs that may be in flight.
+    /// The most jobs in flight.
     pub in_flight: Option<u32>,
-    /// Jobs that may come.
+    /// The rate at which jobs are admitted.
     pub rate: Option<Rate>,
-    /// Further tries that first ones pay for.
+    /// Retries that are allowed relative to first attempts.
     pub budget: Option<Budget>,
-    /// Whether what stands here is counted by each planner or by the fleet; it is of this place alone, and not inherited.
+    /// Whether each planner or the whole fleet counts against this entry's limits. Applies to this entry
+    /// alone and is not inherited.
     pub scope: Option<Scope>,
 }
 
 impl Figures {
-    /// Whether what is counted here is divided among the planners.
+    /// Whether this entry's limits are divided among the planners.
     pub fn is_shared(&self) -> bool {
         self.scope == Some(Scope::Fleet)
     }
 }
 
-/// Which services a route is for.
+/// The services that a route matches.
 #[derive(Clone, Debug)]
 pub enum Pattern {
-    /// All.
+    /// All services.
     Any,
-    /// One.
+    /// One service.
     Exact(String),
-    /// Those that begin so.
+    /// Services that begin with this prefix.
     Prefix(String),
-    /// Those that match a glob.
+    /// Services that match a glob.
     Glob(String, WildMatch),
 }
 
 impl Pattern {
-    /// Reads a glob: `*` is any run of characters, `?` any one.
+    /// Parses a glob: `*` stands for any number of characters, `?` for exactly one.
     pub fn new(text: &str) -> Pattern {
         let plain = |t: &str| !t.contains(['*', '?']);
         match text.strip_suffix('*') {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Whether a service is one of them.
+    /// Whether the pattern matches a service.
     pub fn matches(&self, service: &str) -> bool {
         match self {
             Pattern::Any => true,
@@ -129,7 +131,8 @@
         }
     }
 
-    /// Whether every service of the other is one of these, as far as can be told from the patterns.
+    /// Whether every service that the other pattern matches is matched by this one. For globs it may return
+    /// false although this holds.
     pub fn covers(&self, other: &Pattern) -> bool {
         match (self, other) {
             (Pattern::Any, _) => true,
@@ -144,8 +147,8 @@
         }
     }
 
-    /// The pattern in the words of the file.
-    pub fn word(&self) -> String {
+    /// The pattern as written in the file.
+    pub fn spelling(&self) -> String {
         match self {
             Pattern::Any => "*".into(),
             Pattern::Exact(text) | Pattern::Glob(text, _) => text.clone(),
@@ -154,23 +157,23 @@
     }
 }
 
-/// Least and most, both included.
+/// Smallest and largest value, both included.
 pub type Span = (f64, f64);
 
-/// What a route is for; what is absent is not looked at.
+/// The conditions under which a route matches a job; absent conditions always hold.
 #[derive(Clone, Debug)]
 pub struct Matching {
-    /// The front.
+    /// The interface through which the job was submitted.
     pub front: Option<Front>,
     /// Index of the class.
     pub class: Option<usize>,
     /// The services.
     pub service: Pattern,
-    /// The zone in which this planner stands.
+    /// The zone of this planner.
     pub zone: Option<String>,
-    /// Cores asked for.
+    /// Cores that the job requests.
     pub cores: Option<Span>,
-    /// Memory asked for.
+    /// Memory that the job requests.
     pub memory: Option<Span>,
 }
 
@@ -178,39 +181,39 @@
     a.is_none() || a == b
 }
 
-fn spans(a: Option<Span>, b: Option<Span>) -> bool {
+fn covers_span(a: Option<Span>, b: Option<Span>) -> bool {
     a.is_none_or(|(least, most)| b.is_some_and(|(l, m)| least <= l && m <= most))
 }
 
-fn meet<T: PartialEq>(a: &Option<T>, b: &Option<T>) -> bool {
+fn compatible<T: PartialEq>(a: &Option<T>, b: &Option<T>) -> bool {
     a.is_none() || b.is_none() || a == b
 }
 
 impl Matching {
-    /// Whether it takes all that the other takes.
+    /// Whether it matches every job that the other matches.
     pub fn covers(&self, other: &Matching) -> bool {
         covers(&self.front, &other.front)
             && covers(&self.class, &other.class)
             && covers(&self.zone, &other.zone)
-            && spans(self.cores, other.cores)
-            && spans(self.memory, other.memory)
+            && covers_span(self.cores, other.cores)
+            && covers_span(self.memory, other.memory)
             && self.service.covers(&other.service)
     }
 
-    /// Whether some job may match both, as far as can be told from fronts, classes, zones and patterns.
-    pub fn meets(&self, other: &Matching) -> bool {
+    /// Whether some job may match both, judged by fronts, classes, zones and patterns alone (not by sizes).
+    pub fn overlaps(&self, other: &Matching) -> bool {
         let services = match (&self.service, &other.service) {
             (Pattern::Glob(..), Pattern::Glob(..) | Pattern::Prefix(_))
             | (Pattern::Prefix(_), Pattern::Glob(..)) => true,
             (a, b) => a.covers(b) || b.covers(a),
         };
-        meet(&self.front, &other.front)
-            && meet(&self.class, &other.class)
-            && meet(&self.zone, &other.zone)
+        compatible(&self.front, &other.front)
+            && compatible(&self.class, &other.class)
+            && compatible(&self.zone, &other.zone)
             && services
     }
 
-    /// Whether a job of so much room is for it.
+    /// Whether a job that requests this room is within the size conditions.
     pub fn fits(&self, room: Room) -> bool {
         let within =
             |span: Option<Span>, x: f64| span.is_none_or(|(least, most)| (least..=most).contains(&x));
@@ -221,21 +224,21 @@
 /// One route.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Its name, under which its gauges live on over reloads.
+    /// Its name, by which its gauges are found again after a reload.
     pub name: Arc<str>,
-    /// What it is for.
+    /// The jobs that it matches.
     pub matching: Matching,
     /// Its own figures.
     pub figures: Figures,
 }
 
-/// The whole section.
+/// The section `limits`.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
-    /// For all.
+    /// The figures for all jobs.
     pub default: Figures,
-    /// By class; one entry for each class of the settings.
+    /// Figures by class; one element for each class of the settings.
     pub classes: Vec<Figures>,
-    /// In the order of the file.
+    /// Routes in the order of the file.
     pub routes: Vec<Route>,
 }
--- a/src/decide/limits/table.rs
+++ b/src/decide/limits/table.rs
@@ -1,8 +1,10 @@
-//! The section compiled: an index from a job to its limits that hardly grows with the number of routes.
+//! The section `limits`, compiled into an index from a job to its limits whose look-up time hardly grows with
+//! the number of routes.
 //!
-//! Routes with one service or one prefix are found by hash, one look-up for each length of prefix that occurs; the
-//! rest, globs and routes for any service, are gone through in the order of the file, and no further than the best
-//! that was found. What a route comes to for a class is worked out once, when the file is taken.
+//! Routes for one service or one prefix are found by hash, with one look-up for each prefix length that
+//! occurs. The other routes (globs and routes for any service) are scanned in the order of the file, up to
+//! the first match or the best match found by hash. The limits of each route and class are computed once,
+//! when the file is compiled.
 
 use super::gauges::{Budget, Rate};
 use super::model::{Figures, Front, Matching, Model, Pattern, SecondCopy};
@@ -11,7 +13,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A place in the file that figures come from.
+/// The entry of the file that a figure comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Origin {
     /// `default`.
@@ -23,7 +25,8 @@
 }
 
 impl Origin {
-    /// Its name, under which its gauges outlive a reload. `classes` are the names of the classes, in their order.
+    /// The entry's name, by which its gauges are found again after a reload. `classes` are the class names in
+    /// the order of the settings.
     pub fn name(self, model: &Model, classes: &[String]) -> String {
         match self {
             Origin::Default => "default".into(),
@@ -33,74 +36,74 @@
     }
 }
 
-/// The limits of the jobs that take one way through the file.
+/// The limits of the jobs with one route (or none) and one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resolved {
-    /// What the module is told.
+    /// The limits that are passed to the placer.
     pub task: TaskLimits,
-    /// Seconds from the ask to the final answer, where they are shorter than the owner's own.
+    /// Seconds from the request to the final answer; applies if it is shorter than the owner's own deadline.
     pub total_s: Seconds,
-    /// The route, where one matched.
+    /// Index of the route, if one matched.
     pub route: Option<usize>,
-    /// Jobs that may come, counted at the place that says so.
+    /// The rate at which jobs are admitted, and the entry that sets it and counts it.
     pub rate: Option<(Origin, Rate)>,
-    /// Jobs that may be in flight.
+    /// The most jobs in flight, and the entry that sets it and counts them.
     pub in_flight: Option<(Origin, u32)>,
-    /// Further tries that first ones pay for.
+    /// The retry budget, and the entry that sets it and counts it.
     pub budget: Option<(Origin, Budget)>,
 }
 
 impl Resolved {
-    /// Whether nothing is counted for such a job.
+    /// Whether no limit that needs counting applies to such a job.
     pub fn is_uncounted(&self) -> bool {
         self.rate.is_none() && self.in_flight.is_none() && self.budget.is_none()
     }
 }
 
-/// What a job is resolved by.
+/// The properties of a job by which its limits are found.
 #[derive(Clone, Copy, Debug)]
 pub struct Subject<'a> {
-    /// Its front.
+    /// The interface through which it was submitted.
     pub front: Front,
     /// Index of its class.
     pub class: usize,
-    /// Its service, in its owner's words.
+    /// Its service, as its owner named it.
     pub service: &'a str,
-    /// What it asks for.
+    /// The resources that it requests.
     pub room: Room,
 }
 
-/// The figures of a way through the file, each with the place that it comes from.
+/// The entries that apply to a job, in order of precedence, each with its figures.
 #[derive(Clone, Copy, Debug)]
 pub struct Chain {
-    places: [(Origin, Figures); 3],
+    entries: [(Origin, Figures); 3],
     count: usize,
 }
 
 impl Chain {
-    /// From the most to the least particular place.
+    /// From the most to the least specific entry: the route, if any, then the class, then the default.
     pub fn new(model: &Model, class: usize, route: Option<usize>) -> Chain {
         let own = route.map(|at| (Origin::Route(at), model.routes[at].figures));
         let of_class = (Origin::Class(class), model.classes.get(class).copied().unwrap_or_default());
         let default = (Origin::Default, model.default);
         match own {
-            Some(own) => Chain { places: [own, of_class, default], count: 3 },
-            None => Chain { places: [of_class, default, default], count: 2 },
+            Some(own) => Chain { entries: [own, of_class, default], count: 3 },
+            None => Chain { entries: [of_class, default, default], count: 2 },
         }
     }
 
-    /// The first place that gives a figure.
+    /// The first entry that sets a figure, and its value.
     pub fn find<T>(&self, figure: impl Fn(&Figures) -> Option<T>) -> Option<(Origin, T)> {
-        self.places[..self.count].iter().find_map(|(origin, f)| Some((*origin, figure(f)?)))
+        self.entries[..self.count].iter().find_map(|(origin, f)| Some((*origin, figure(f)?)))
     }
 
-    /// The figure without its place.
+    /// The value of a figure, without its entry.
     pub fn get<T>(&self, figure: impl Fn(&Figures) -> Option<T>) -> Option<T> {
         self.find(figure).map(|(_, value)| value)
     }
 }
 
-/// What the figures of a chain come to for a class, under the settings.
+/// Computes the limits of a class from the entries of a chain, within the bounds of the settings.
 pub fn resolve_chain(chain: &Chain, class: usize, route: Option<usize>, settings: &Settings) -> Resolved {
     let effect = settings.classes[class].effect;
     let copies = chain.get(|f| f.second_copy).is_none_or(|copy| copy == SecondCopy::AfterGiveUp);
@@ -130,14 +133,14 @@
 }
 
 #[derive(Debug)]
-struct Leg {
+struct CompiledRoute {
     matching: Matching,
-    /// By class; nothing where the route is not for it.
+    /// Limits by class; `None` if the route does not match the class or this planner's zone.
     resolved: Box<[Option<Arc<Resolved>>]>,
 }
 
-impl Leg {
-    fn take(&self, subject: &Subject<'_>) -> Option<&Arc<Resolved>> {
+impl CompiledRoute {
+    fn limits_for(&self, subject: &Subject<'_>) -> Option<&Arc<Resolved>> {
         let front = self.matching.front.is_none_or(|front| front == subject.front);
         let resolved = self.resolved.get(subject.class)?.as_ref();
         resolved.filter(|_| front && self.matching.fits(subject.room))
@@ -146,22 +149,23 @@
 
 type Index = HashMap<Box<[u8]>, Vec<u32>, RandomState>;
 
-/// The compiled file.
+/// The compiled section.
 #[derive(Debug, Default)]
 pub struct Table {
     model: Model,
-    legs: Vec<Leg>,
+    compiled: Vec<CompiledRoute>,
     exact: Index,
     prefix: Index,
-    /// Lengths of prefixes that occur, in bytes.
-    lengths: Vec<usize>,
-    /// Routes for any service, and those with globs, in the order of the file.
+    /// The lengths of prefixes that occur, in bytes, ascending.
+    prefix_lengths: Vec<usize>,
+    /// Routes for any service and routes with globs, in the order of the file.
     general: Vec<u32>,
     by_class: Vec<Arc<Resolved>>,
 }
 
 impl Table {
-    /// Compiles a section that was checked. `zone` is where this planner stands: routes of other zones never match.
+    /// Compiles a section that was read without faults. `zone` is this planner's zone; routes of other zones
+    /// never match.
     pub fn new(model: Model, settings: &Settings, zone: Option<&str>) -> Table {
         let classes = 0..settings.classes.len();
         let by_class = classes
@@ -172,16 +176,16 @@
             index.entry(text.as_bytes().into()).or_default().push(at);
         };
         for (at, route) in (0u32..).zip(&model.routes) {
-            let here = route.matching.zone.as_deref().is_none_or(|wanted| Some(wanted) == zone);
+            let in_zone = route.matching.zone.as_deref().is_none_or(|wanted| Some(wanted) == zone);
             let number = at as usize;
-            let one = |class: usize| {
-                let for_it = here && route.matching.class.is_none_or(|own| own == class);
+            let resolve_for = |class: usize| {
+                let applies = in_zone && route.matching.class.is_none_or(|own| own == class);
                 let chain = || Chain::new(&model, class, Some(number));
-                for_it.then(|| Arc::new(resolve_chain(&chain(), class, Some(number), settings)))
+                applies.then(|| Arc::new(resolve_chain(&chain(), class, Some(number), settings)))
             };
-            let resolved = classes.clone().map(one).collect();
-            table.legs.push(Leg { matching: route.matching.clone(), resolved });
-            if !here {
+            let resolved = classes.clone().map(resolve_for).collect();
+            table.compiled.push(CompiledRoute { matching: route.matching.clone(), resolved });
+            if !in_zone {
                 continue;
             }
             match &route.matching.service {
@@ -190,9 +194,9 @@
                 Pattern::Any | Pattern::Glob(..) => table.general.push(at),
             }
         }
-        table.lengths = table.prefix.keys().map(|key| key.len()).collect();
-        table.lengths.sort_unstable();
-        table.lengths.dedup();
+        table.prefix_lengths = table.prefix.keys().map(|key| key.len()).collect();
+        table.prefix_lengths.sort_unstable();
+        table.prefix_lengths.dedup();
         table.model = model;
         table
     }
@@ -202,34 +206,34 @@
         &self.model
     }
 
-    /// The limits of a job: the first route that matches, else its class.
+    /// The limits of a job: those of the first route that matches it, else those of its class.
     pub fn resolve(&self, subject: &Subject<'_>) -> Option<&Arc<Resolved>> {
         let mut best: Option<(u32, &Arc<Resolved>)> = None;
         let service = subject.service.as_bytes();
-        let mut look = |found: Option<&Vec<u32>>| {
+        let mut consider = |found: Option<&Vec<u32>>| {
             for &at in found.into_iter().flatten() {
                 if best.is_some_and(|(first, _)| first < at) {
                     return;
                 }
-                if let Some(resolved) = self.legs[at as usize].take(subject) {
+                if let Some(resolved) = self.compiled[at as usize].limits_for(subject) {
                     best = Some((at, resolved));
                     return;
                 }
             }
         };
         if !self.exact.is_empty() {
-            look(self.exact.get(service));
+            consider(self.exact.get(service));
         }
-        for &length in self.lengths.iter().take_while(|&&length| length <= service.len()) {
-            look(self.prefix.get(&service[..length]));
+        for &length in self.prefix_lengths.iter().take_while(|&&length| length <= service.len()) {
+            consider(self.prefix.get(&service[..length]));
         }
         for &at in &self.general {
             if best.is_some_and(|(first, _)| first < at) {
                 break;
             }
-            let leg = &self.legs[at as usize];
+            let route = &self.compiled[at as usize];
             if let Some(resolved) =
-                leg.take(subject).filter(|_| leg.matching.service.matches(subject.service))
+                route.limits_for(subject).filter(|_| route.matching.service.matches(subject.service))
             {
                 best = Some((at, resolved));
                 break;
@@ -238,7 +242,7 @@
         best.map(|(_, resolved)| resolved).or_else(|| self.by_class.get(subject.class))
     }
 
-    /// The figures of a place.
+    /// The figures of an entry.
     pub fn figures(&self, origin: Origin) -> Option<&Figures> {
         match origin {
             Origin::Default => Some(&self.model.default),
@@ -247,8 +251,8 @@
         }
     }
 
-    /// Every place at which something is counted.
-    pub fn counted(&self) -> Vec<Origin> {
+    /// All entries that set a limit that needs counting.
+    pub fn counted_origins(&self) -> Vec<Origin> {
         let counts = |f: &Figures| f.rate.is_some() || f.in_flight.is_some() || f.budget.is_some();
         let classes = (0..).map(Origin::Class).zip(&self.model.classes);
         let routes = (0..).map(Origin::Route).zip(self.model.routes.iter().map(|r| &r.figures));
--- a/src/decide/limits/tests.rs
+++ b/src/decide/limits/tests.rs
@@ -1,4 +1,5 @@
-//! The limits at their edges, on a clock of the tests' own, and against plain walks and counts.
+//! Tests of the limits: edge cases on a simulated clock, and properties checked against linear scans and
+//! plain counts.
 
 use super::*;
 use crate::document::{self, Faults, Item, Sink, Text};
@@ -80,11 +81,12 @@
     Subject { front: Front::Rest, class, service, room: Room { cores: 1.0, memory: 1.0 } }
 }
 
-fn told(text: &str) -> Vec<String> {
+fn warnings(text: &str) -> Vec<String> {
     read_section(text, None).expect("no fault").1
 }
 
-/// Guards an operator who gives up nothing by naming a route: what it does not say comes from its class and the default.
+/// Guards against a route that loses the figures it does not set itself: they come from its class and the
+/// default.
 #[test]
 fn a_route_inherits() {
     let table = table(
@@ -98,10 +100,13 @@
     assert_eq!((route.task.attempt_s, route.total_s, class.task.pause_s), (1.0, 7.0, None));
     assert_eq!(route.task.pause_s.map(|(mean, _)| mean), Some(0.1));
     assert_eq!((route.task.window_s, of(0, "x").task.window_s), (6.0, f64::INFINITY));
-    assert!(!of(2, "x").task.copies, "a class that must run once has no second copy, whatever it inherits");
+    assert!(
+        !of(2, "x").task.copies,
+        "a class with idempotency \"once\" has no second copy, whatever it inherits"
+    );
 }
 
-/// Guards halls that share one file: a route for the other hall is not taken here.
+/// Guards zones that share one file: a route for another zone does not apply in this one.
 #[test]
 fn routes_of_another_zone_never_match() {
     let table = table(
@@ -111,25 +116,26 @@
     assert_eq!(table.resolve(&subject(0, "s")).expect("limits").route, Some(1));
 }
 
-/// Guards operators against an order that they did not mean.
+/// Guards operators against an unintended order of routes: unreachable and ambiguous routes give warnings.
 #[test]
-fn unreachable_and_ambiguous_routes_are_told() {
+fn unreachable_and_ambiguous_routes_are_reported() {
     let text = "{routes: [{name: 'a', match: {service: 'mail-*'}, attempts: 1}, \
         {name: 'b', match: {service: 'mail-in-*', class: 'keyed'}, attempts: 2},\
         {name: 'c', match: {service: '*-late'}, attempts: 2},\
         {name: 'd', match: {class: 'keyed', service: 'mail-night'}, attempts: 3},\
         {name: 'e', match: {service: 'x'}}]}";
     assert_eq!(
-        told(text),
+        warnings(text),
         [
-            "route \"b\" is never taken: route \"a\" before it takes all that it matches",
-            "routes \"a\" and \"c\" may match the same job: the first one is taken",
-            "route \"d\" is never taken: route \"a\" before it takes all that it matches",
+            "route \"b\" is never used: route \"a\" before it matches all its jobs",
+            "routes \"a\" and \"c\" may match the same job: the first one is used",
+            "route \"d\" is never used: route \"a\" before it matches all its jobs",
         ]
     );
 }
 
-/// Guards a limit against the second's edge, a clock that stands still, and one that has rested.
+/// Guards a rate limit against double bursts at the turn of a second, a clock that stands still, and a burst
+/// that grows while idle.
 #[test]
 fn a_rate_has_no_edge() {
     let mut limits = limits("{default: {ratePerS: 10, burst: 5}}");
@@ -137,83 +143,89 @@
     let mut taken = |now: f64| (0..20).filter(|_| limits.admit(now, &of, f64::INFINITY).is_ok()).count();
     assert_eq!(taken(999.9999), 5, "the burst");
     assert_eq!(taken(999.9999), 0, "the clock stands still");
-    assert_eq!(taken(1000.0001), 0, "the second's edge brings nothing");
+    assert_eq!(taken(1000.0001), 0, "the turn of a second admits no more");
     assert_eq!(taken(1000.2), 2);
-    assert_eq!(taken(1060.0), 5, "a rest earns one burst and no more");
+    assert_eq!(taken(1060.0), 5, "an idle period allows one burst and no more");
 }
 
-/// Guards against clients that were turned away together and come back together.
+/// Guards against clients that are rejected together and come back together.
 #[test]
-fn those_turned_away_are_told_different_times() {
+fn rejected_clients_get_different_retry_times() {
     let mut limits = limits("{default: {ratePerS: 10, burst: 1}}");
     let of = limits.resolve(&subject(0, "s")).expect("limits");
-    let away =
-        |turned: Result<Option<Ticket>, Turned>| turned.map(|_| ()).expect_err("turned away").retry_in_s;
-    limits.admit(100.0, &of, f64::INFINITY).expect("taken");
-    let told: Vec<f64> = (0..400).map(|_| away(limits.admit(100.0, &of, f64::INFINITY))).collect();
-    assert!((told[0] - 0.1).abs() < 1e-6 && (told[1] - 0.2).abs() < 1e-6, "{:?}", &told[..2]);
-    assert_eq!(told[399], 30.0, "and nobody is sent away for ever");
-    assert!(told.windows(2).all(|w| w[0] <= w[1]));
+    let wait = |result: Result<Option<Ticket>, Turned>| result.map(|_| ()).expect_err("rejected").retry_in_s;
+    limits.admit(100.0, &of, f64::INFINITY).expect("admitted");
+    let retry_times: Vec<f64> = (0..400).map(|_| wait(limits.admit(100.0, &of, f64::INFINITY))).collect();
+    assert!(
+        (retry_times[0] - 0.1).abs() < 1e-6 && (retry_times[1] - 0.2).abs() < 1e-6,
+        "{:?}",
+        &retry_times[..2]
+    );
+    assert_eq!(retry_times[399], 30.0, "the retry time is capped");
+    assert!(retry_times.windows(2).all(|w| w[0] <= w[1]));
 }
 
-/// Guards places in flight: given back once, and their pace tells when to come back.
+/// Guards in-flight slots: each is returned once, and the retry time follows from how long slots were held.
 #[test]
-fn a_place_in_flight_is_given_back() {
+fn an_in_flight_slot_is_returned() {
     let mut limits = limits("{default: {inFlight: 2}}");
     let of = limits.resolve(&subject(0, "s")).expect("limits");
     let tickets: Vec<Ticket> =
-        (0..2).filter_map(|_| limits.admit(100.0, &of, f64::INFINITY).expect("a place")).collect();
-    let turned = limits.admit(100.0, &of, f64::INFINITY).expect_err("no place");
-    assert_eq!((turned.why, turned.retry_in_s), (Why::InFlight, 0.25));
+        (0..2).filter_map(|_| limits.admit(100.0, &of, f64::INFINITY).expect("a slot")).collect();
+    let rejection = limits.admit(100.0, &of, f64::INFINITY).expect_err("no slot");
+    assert_eq!((rejection.why, rejection.retry_in_s), (Why::InFlight, 0.25));
     tickets.into_iter().for_each(|ticket| limits.over(110.0, ticket));
     assert_eq!(limits.readings(110.0)[0].in_flight, 0);
-    let slow: Vec<_> = (0..2).map(|_| limits.admit(110.0, &of, f64::INFINITY).expect("a place")).collect();
-    let turned = limits.admit(110.0, &of, f64::INFINITY).expect_err("no place");
-    assert!(turned.retry_in_s > 1.0, "places were held for 10 s: {turned:?}");
+    let slow: Vec<_> = (0..2).map(|_| limits.admit(110.0, &of, f64::INFINITY).expect("a slot")).collect();
+    let rejection = limits.admit(110.0, &of, f64::INFINITY).expect_err("no slot");
+    assert!(rejection.retry_in_s > 1.0, "slots were held for 10 s: {rejection:?}");
     assert_eq!(slow.len(), 2);
 }
 
-/// Guards a place in flight against a job that the rate turns away after it had one.
+/// Guards against a leaked in-flight slot: a job that the rate rejects after it took a slot gives the slot
+/// back.
 #[test]
-fn a_rate_that_says_no_takes_no_place() {
+fn a_job_rejected_by_its_rate_holds_no_slot() {
     let mut limits = limits("{default: {inFlight: 2, ratePerS: 1, burst: 1}}");
     let of = limits.resolve(&subject(0, "s")).expect("limits");
-    limits.admit(100.0, &of, f64::INFINITY).expect("taken");
+    limits.admit(100.0, &of, f64::INFINITY).expect("admitted");
     for _ in 0..5 {
-        assert_eq!(limits.admit(100.0, &of, f64::INFINITY).expect_err("turned away").why, Why::Rate);
+        assert_eq!(limits.admit(100.0, &of, f64::INFINITY).expect_err("rejected").why, Why::Rate);
     }
     assert_eq!(limits.readings(100.0)[0].in_flight, 1);
 }
 
-/// Guards machines in a brown-out: further tries stay a share of first ones, and are paid for anew as time passes.
+/// Guards overloaded machines against a retry storm: retries stay a share of first attempts, and become
+/// available again as counted ones age.
 #[test]
 fn a_budget_bounds_a_storm() {
     let mut limits = limits("{default: {retryBudget: 0.2, retryFloor: 1}}");
     let of = limits.resolve(&subject(0, "s")).expect("limits");
-    let ticket = limits.admit(100.0, &of, f64::INFINITY).expect("taken").expect("something is counted");
+    let ticket = limits.admit(100.0, &of, f64::INFINITY).expect("admitted").expect("something is counted");
     (0..50).for_each(|n| limits.first_try(100.0 + f64::from(n) / 10.0, &ticket));
     let storm =
         |limits: &mut Limits, now| (0..99).filter(|_| limits.further_try(now, &ticket).is_ok()).count();
     assert_eq!(storm(&mut limits, 105.0), 11);
-    let turned = limits.further_try(105.0, &ticket).expect_err("spent");
-    assert_eq!((turned.why, turned.retry_in_s > 9.0), (Why::RetryBudget, true), "{turned:?}");
-    // Of the first tries those of the last ten seconds count, and the further ones still do.
+    let rejection = limits.further_try(105.0, &ticket).expect_err("used up");
+    assert_eq!((rejection.why, rejection.retry_in_s > 9.0), (Why::RetryBudget, true), "{rejection:?}");
+    // The earlier first attempts are more than ten seconds old and no longer count; the retries still do.
     assert_eq!(storm(&mut limits, 113.0), 0);
     assert_eq!(storm(&mut limits, 116.0), 1, "the floor alone");
 }
 
-/// Guards memory under endless reloads, and what is counted for a route over a reload that keeps it.
+/// Guards against gauges that pile up over many reloads, and against lost counts of a route that a reload
+/// keeps.
 #[test]
 fn gauges_outlive_their_file_only_as_needed() {
     let mut limits = limits("{routes: [{name: 'a', match: {}, inFlight: 1}]}");
     let of = limits.resolve(&subject(0, "s")).expect("limits");
-    let ticket = limits.admit(100.0, &of, f64::INFINITY).expect("a place").expect("a ticket");
+    let ticket = limits.admit(100.0, &of, f64::INFINITY).expect("a slot").expect("a ticket");
     limits.swap(0.0, table("{default: {attempts: 2}, routes: [{name: 'a', match: {}, inFlight: 1}]}"));
     let again = limits.resolve(&subject(0, "s")).expect("limits");
-    assert!(limits.admit(100.0, &again, f64::INFINITY).is_err(), "the place is taken still");
+    assert!(limits.admit(100.0, &again, f64::INFINITY).is_err(), "the slot is still in use");
     for n in 0..1000 {
         limits.swap(0.0, table(&format!("{{routes: [{{name: 'r{n}', match: {{}}, inFlight: 9}}]}}")));
-        assert_eq!(limits.kept(), 2, "the file's own and the one that a job holds");
+        assert_eq!(limits.kept(), 2, "the gauge of the file's route and the one that a job holds");
     }
     limits.over(200.0, ticket);
     assert_eq!(limits.kept(), 1);
@@ -280,7 +292,7 @@
 }
 
 proptest! {
-    /// Guards the index: it finds what a walk over all routes in their order finds.
+    /// Guards the index: it finds the same route as a linear scan of all routes in their order.
     #[test]
     fn an_index_finds_what_a_walk_finds(
         model in model(), class in 0usize..3, service in "[ab]{0,4}", cores in 0u32..4, rest in any::<bool>(),
@@ -289,7 +301,7 @@
         let front = if rest { Front::Rest } else { Front::Platform };
         let room = Room { cores: f64::from(cores), memory: 1.0 };
         let subject = Subject { front, class, service: &service, room };
-        let walk = table.model().routes.iter().position(|route| {
+        let scan = table.model().routes.iter().position(|route| {
             let own = &route.matching;
             own.front.is_none_or(|f| f == front)
                 && own.class.is_none_or(|c| c == class)
@@ -297,10 +309,10 @@
                 && own.service.matches(&service)
                 && own.fits(room)
         });
-        prop_assert_eq!(table.resolve(&subject).expect("limits").route, walk);
+        prop_assert_eq!(table.resolve(&subject).expect("limits").route, scan);
     }
 
-    /// Guards the rules: whatever a file says, it only narrows what the settings allow.
+    /// Guards the bounds of the settings: no file can widen what they allow.
     #[test]
     fn what_is_resolved_never_exceeds_the_settings(model in model(), class in 0usize..3, service in "[ab]{0,3}") {
         let settings = settings();
@@ -314,7 +326,7 @@
         }
     }
 
-    /// Guards machines: over any span a rate lets through no more than its burst and its pace.
+    /// Guards machines: over any span a rate admits at most `burst + rate × span` jobs.
     #[test]
     fn a_rate_holds_over_every_span(
         per_s in 1u32..50, burst in 1u32..20, steps in proptest::collection::vec(0u32..200, 1..200),
@@ -325,7 +337,7 @@
             now += f64::from(step) / 1e3;
             match gauge.take(now, rate) {
                 Ok(()) => taken.push(now),
-                Err(away) => prop_assert!(away > 0.0 && away <= gauges::LONGEST_AWAY_S),
+                Err(wait) => prop_assert!(wait > 0.0 && wait <= gauges::MAX_RETRY_AFTER_S),
             }
         }
         for (at, from) in taken.iter().enumerate() {
@@ -336,32 +348,34 @@
         }
     }
 
-    /// Guards machines: at any time the further tries of ten seconds are paid for by the first ones and the floor.
+    /// Guards machines: at any time the retries of the last ten seconds are within `floor + share × first
+    /// attempts`.
     #[test]
     fn a_budget_holds_at_every_step(
         share in 0u32..10, floor in 0u32..4, steps in proptest::collection::vec((0u32..3000, any::<bool>()), 1..200),
     ) {
         let budget = Budget { share: f64::from(share) / 10.0, floor };
-        let (mut gauge, mut now) = (TriesGauge::default(), 100.0);
+        let (mut gauge, mut now) = (RetryGauge::default(), 100.0);
         for (step, first) in steps {
             now += f64::from(step) / 1e3;
             if first {
-                gauge.first(now);
-            } else if gauge.further(now, budget) {
-                let (first, further) = gauge.counts(now);
-                prop_assert!(f64::from(further) <= f64::from(floor) + budget.share * f64::from(first) + 1e-6);
+                gauge.count_first(now);
+            } else if gauge.take_retry(now, budget) {
+                let (first, retries) = gauge.counts(now);
+                prop_assert!(f64::from(retries) <= f64::from(floor) + budget.share * f64::from(first) + 1e-6);
             } else {
-                let away = gauge.away(now, budget);
-                prop_assert!(away > 0.0 && away <= gauges::LONGEST_AWAY_S);
+                let wait = gauge.retry_after(now, budget);
+                prop_assert!(wait > 0.0 && wait <= gauges::MAX_RETRY_AFTER_S);
             }
         }
     }
 }
 
-/// Guards budgets of the fleet: a place with `scope: "fleet"` takes what its planner's share allows, gives a place in flight
-/// back once, and tells those who are turned away when to come back; other places are as before.
+/// Guards fleet-wide limits: an entry with `scope: "fleet"` admits what its planner's share allows, returns
+/// each in-flight slot once, and gives rejected clients a retry time; entries without the scope are not
+/// affected.
 #[test]
-fn a_shared_place_takes_what_its_share_allows() {
+fn a_shared_entry_admits_what_its_share_allows() {
     use crate::decide::budgets::{Books, Plan};
     use crate::decide::fleet::Terms;
     let terms = Terms { lease: 4_000_000, rate_error_ppm: 0, ask_every: 50_000, floor_permille: 500 };
@@ -373,28 +387,28 @@
     let resolved =
         |limits: &Limits, class, service| limits.resolve(&subject(class, service)).expect("limits");
     let plain = resolved(&limits, 0, "a");
-    let early = limits.admit(1.0, &plain, 2.0).expect_err("an earlier life's may be in flight");
-    assert!(early.why == Why::InFlight && early.retry_in_s > 0.0);
-    let two: Vec<Ticket> =
-        (0..2).filter_map(|_| limits.admit(20.0, &plain, 20.9).expect("a place")).collect();
-    let turned = limits.admit(20.0, &plain, 20.9).expect_err("half of four are two");
-    assert!(turned.why == Why::InFlight && (0.01..=30.0).contains(&turned.retry_in_s), "{turned:?}");
+    let too_early =
+        limits.admit(1.0, &plain, 2.0).expect_err("jobs of a previous run of this planner may be in flight");
+    assert!(too_early.why == Why::InFlight && too_early.retry_in_s > 0.0);
+    let two: Vec<Ticket> = (0..2).filter_map(|_| limits.admit(20.0, &plain, 20.9).expect("a slot")).collect();
+    let rejection = limits.admit(20.0, &plain, 20.9).expect_err("half of four is two");
+    assert!(rejection.why == Why::InFlight && (0.01..=30.0).contains(&rejection.retry_in_s), "{rejection:?}");
     let [first, second] = <[Ticket; 2]>::try_from(two).expect("two");
-    assert!(limits.further_try(20.1, &first).is_ok(), "half of two that nobody pays for are one");
+    assert!(limits.further_try(20.1, &first).is_ok(), "half of the floor of two is one");
     assert!(limits.further_try(20.1, &second).is_err());
     limits.over(20.2, first);
-    limits.admit(20.2, &plain, 21.0).expect("a place came free");
+    limits.admit(20.2, &plain, 21.0).expect("a slot came free");
     assert!(limits.admit(20.2, &plain, 21.0).is_err());
     let own = resolved(&limits, 0, "x");
     let taken = (0..9).filter(|_| limits.admit(20.3, &own, 21.0).is_ok()).count();
-    assert_eq!(taken, 3, "a place without the scope counts alone");
-    // Keyed jobs come under the default's jobs in flight, too: those are over by now.
+    assert_eq!(taken, 3, "an entry without the scope is counted by this planner alone");
+    // Keyed jobs also count against the in-flight limit of the default; the earlier jobs have ended by now.
     let keyed = resolved(&limits, 1, "a");
     let taken = (0..9).filter(|_| limits.admit(40.0, &keyed, 40.5).is_ok()).count();
     assert_eq!(taken, 2, "half of a burst of four");
-    let turned = limits.admit(40.6, &keyed, 41.0).expect_err("their second is not over");
-    assert_eq!(turned.why, Why::Rate);
-    limits.admit(41.1, &keyed, 41.5).expect("it is over");
+    let rejection = limits.admit(40.6, &keyed, 41.0).expect_err("the units are held for a second");
+    assert_eq!(rejection.why, Why::Rate);
+    limits.admit(41.1, &keyed, 41.5).expect("the second is over");
     let places: Vec<String> =
         limits.books().expect("a fleet").states(0).iter().map(|s| s.place.to_string()).collect();
     assert_eq!(places.len(), 3, "{places:?}");
