--- a/src/decide/limits/explain.rs
+++ b/src/decide/limits/explain.rs
@@ -45,7 +45,8 @@
     all
 }
 
-const NAMES: [&str; 11] = [
+/// The names of the figures that are shown, in this order.
+const SHOWN_FIGURES: [&str; 11] = [
     "attempts",
     "attemptMs",
     "totalMs",
@@ -60,7 +61,7 @@
 ];
 
 /// The figures to which an entry's scope applies.
-const COUNTED: [&str; 5] = ["inFlight", "ratePerS", "burst", "retryBudget", "retryFloor"];
+const SCOPED_FIGURES: [&str; 5] = ["inFlight", "ratePerS", "burst", "retryBudget", "retryFloor"];
 
 /// The route that applies to a job, and each of the job's limits with the entry that it comes from.
 pub fn explain(
@@ -76,7 +77,7 @@
     let line = |name: &'static str| {
         // The scope is shown with each figure that it applies to, as it belongs to that figure's entry and is
         // not inherited.
-        let scoped = COUNTED.contains(&name);
+        let scoped = SCOPED_FIGURES.contains(&name);
         let found = chain.find(|figures| {
             let spelling = words(figures).remove(name)?;
             Some(if scoped && figures.is_shared() { format!("{spelling} of the fleet") } else { spelling })
@@ -86,11 +87,11 @@
             None => {
                 let value = match (name, class.effect) {
                     ("attempts", _) => settings.max_attempts.to_string(),
-                    ("totalMs", _) => "the owner's own".into(),
+                    ("totalMs", _) => "the owner's deadline".into(),
                     ("repeatWindowMs", Effect::Keyed { window_s, .. }) => ms(window_s),
                     ("secondCopy", Effect::Once) => "\"never\"".into(),
                     ("secondCopy", _) => "\"after-give-up\"".into(),
-                    ("attemptMs" | "pauseMs", _) => "as the module has learnt".into(),
+                    ("attemptMs" | "pauseMs", _) => "learned by the placer".into(),
                     _ => return None,
                 };
                 (value, "settings".into())
@@ -102,7 +103,10 @@
         let value = if forbidden { "\"never\"".into() } else { value };
         (!unused).then_some(Line { name, value, from })
     };
-    (route.map(|at| model.routes[at].name.to_string()), NAMES.iter().copied().filter_map(line).collect())
+    (
+        route.map(|at| model.routes[at].name.to_string()),
+        SHOWN_FIGURES.iter().copied().filter_map(line).collect(),
+    )
 }
 
 /// A route's conditions as written in the file, by name.
@@ -165,7 +169,10 @@
         names.filter(|name| other.contains_key(name)).collect()
     };
     if order(&old.routes, &new_by) != order(&new.routes, &old_by) {
-        lines.push("~ routes: those that stay come in another order, and the first that matches wins".into());
+        lines.push(
+            "~ routes: the routes that stay are in another order; the first one that matches a job is used"
+                .into(),
+        );
     }
     lines
 }
--- a/src/decide/limits/file.rs
+++ b/src/decide/limits/file.rs
@@ -200,9 +200,9 @@
             return item.fault("has no effect without a section \"fleet\"");
         };
         let Some(rate) = figures.rate else { return };
-        let place = section.get("ratePerS").unwrap_or_else(|| item.clone());
+        let rate_item = section.get("ratePerS").unwrap_or_else(|| item.clone());
         match shared_rate(rate, lease_s) {
-            None => place.fault(format!(
+            None => rate_item.fault(format!(
                 "is too low to divide among planners with a lease of {} ms: \
                  set {} a second or more, or a longer leaseMs",
                 lease_s * 1e3,
--- a/src/decide/limits/file/chains.rs
+++ b/src/decide/limits/file/chains.rs
@@ -67,22 +67,22 @@
         let last = (most_pauses * (attempt_s + most_pause)).min(total.map_or(f64::INFINITY, |(_, t)| t));
         if last > window_s {
             let what = format!(
-                "{most_attempts} attempts of {} ms with pauses of up to {} ms put the last send of class {name:?} {} ms \
-                 after the first",
+                "{most_attempts} attempts of {} ms with pauses of up to {} ms put the last send of class \
+                 {name:?} {} ms after the first",
                 attempt_s * 1e3,
                 most_pause * 1e3,
                 (last * 1e3).round()
             );
             let rule =
                 format!("repeats of class {name:?} end {window_s} s after its first send (repeat_window_s)");
-            let places = [
+            let candidates = [
                 Some((a, "attemptMs")),
                 attempts.map(|(o, _)| (o, "attempts")),
                 pause.map(|(o, _)| (o, "pauseMs")),
                 total.map(|(o, _)| (o, "totalMs")),
             ];
-            let places: Vec<(Origin, &str)> = places.into_iter().flatten().collect();
-            self.record_fault(positions, &places, what, Some(rule));
+            let candidates: Vec<(Origin, &str)> = candidates.into_iter().flatten().collect();
+            self.record_fault(positions, &candidates, what, Some(rule));
         }
     }
 
@@ -91,7 +91,7 @@
     fn check_ends_in_time(
         &mut self,
         positions: &BTreeMap<Origin, Positions>,
-        place: Origin,
+        in_flight_entry: Origin,
         total: Option<(Origin, Seconds)>,
         class: &str,
     ) {
@@ -103,11 +103,16 @@
         match total {
             None => {
                 let what = format!("has no totalMs (class {class:?})");
-                self.record_fault(positions, &[(place, "inFlight")], what, Some(rule));
+                self.record_fault(positions, &[(in_flight_entry, "inFlight")], what, Some(rule));
             }
             Some((t, total_s)) if total_s > most_s => {
                 let what = format!("allows jobs of up to {} ms (class {class:?})", total_s * 1e3);
-                self.record_fault(positions, &[(place, "inFlight"), (t, "totalMs")], what, Some(rule));
+                self.record_fault(
+                    positions,
+                    &[(in_flight_entry, "inFlight"), (t, "totalMs")],
+                    what,
+                    Some(rule),
+                );
             }
             Some(_) => {}
         }
@@ -117,11 +122,11 @@
     fn record_fault(
         &mut self,
         positions: &BTreeMap<Origin, Positions>,
-        places: &[(Origin, &str)],
+        candidates: &[(Origin, &str)],
         what: String,
         rule: Option<String>,
     ) {
-        let Some((origin, name)) = places.iter().max_by_key(|(origin, _)| *origin) else { return };
+        let Some((origin, name)) = candidates.iter().max_by_key(|(origin, _)| *origin) else { return };
         let Some(at) = positions.get(origin) else { return };
         let span = at.span(name).unwrap_or(&at.entry).clone();
         let fault = Fault { span, path: format!("{}.{name}", at.path), what, rule };
--- a/src/decide/limits/model.rs
+++ b/src/decide/limits/model.rs
@@ -72,7 +72,7 @@
     pub attempt_s: Option<Seconds>,
     /// Seconds from the request to the final answer.
     pub total_s: Option<Seconds>,
-    /// Seconds between the first and the last send of a job, from the first attempt that may have run.
+    /// Seconds from the first send that may have run to the last send of a job.
     pub window_s: Option<Seconds>,
     /// Seconds of pause after a refusal, least and most.
     pub pause_s: Option<(Seconds, Seconds)>,
--- a/src/decide/limits/table.rs
+++ b/src/decide/limits/table.rs
@@ -177,11 +177,11 @@
         };
         for (at, route) in (0u32..).zip(&model.routes) {
             let in_zone = route.matching.zone.as_deref().is_none_or(|wanted| Some(wanted) == zone);
-            let number = at as usize;
+            let index = at as usize;
             let resolve_for = |class: usize| {
                 let applies = in_zone && route.matching.class.is_none_or(|own| own == class);
-                let chain = || Chain::new(&model, class, Some(number));
-                applies.then(|| Arc::new(resolve_chain(&chain(), class, Some(number), settings)))
+                let chain = || Chain::new(&model, class, Some(index));
+                applies.then(|| Arc::new(resolve_chain(&chain(), class, Some(index), settings)))
             };
             let resolved = classes.clone().map(resolve_for).collect();
             table.compiled.push(CompiledRoute { matching: route.matching.clone(), resolved });
--- a/src/decide/limits/tests.rs
+++ b/src/decide/limits/tests.rs
@@ -314,7 +314,9 @@
 
     /// Guards the bounds of the settings: no file can widen what they allow.
     #[test]
-    fn what_is_resolved_never_exceeds_the_settings(model in model(), class in 0usize..3, service in "[ab]{0,3}") {
+    fn what_is_resolved_never_exceeds_the_settings(
+        model in model(), class in 0usize..3, service in "[ab]{0,3}",
+    ) {
         let settings = settings();
         let table = Table::new(model, &settings, Some("hall-a"));
         let of = table.resolve(&subject(class, &service)).expect("limits");
@@ -352,7 +354,8 @@
     /// attempts`.
     #[test]
     fn a_budget_holds_at_every_step(
-        share in 0u32..10, floor in 0u32..4, steps in proptest::collection::vec((0u32..3000, any::<bool>()), 1..200),
+        share in 0u32..10, floor in 0u32..4,
+        steps in proptest::collection::vec((0u32..3000, any::<bool>()), 1..200),
     ) {
         let budget = Budget { share: f64::from(share) / 10.0, floor };
         let (mut gauge, mut now) = (RetryGauge::default(), 100.0);
@@ -381,8 +384,9 @@
     let terms = Terms { lease: 4_000_000, rate_error_ppm: 0, ask_every: 50_000, floor_permille: 500 };
     let mut limits = Limits::new(&settings(), classes());
     limits.join(Books::new(&Plan { place: (0, 2), voters: vec![], terms }, 1, 0));
-    let text = "{default: {totalMs: 1000, inFlight: 4, scope: 'fleet', retryBudget: 0, retryFloor: 2}, classes: {keyed: {ratePerS: 4, \
-                burst: 4, scope: 'fleet'}}, routes: [{name: 'own', match: {service: 'x'}, inFlight: 3}]}";
+    let text = "{default: {totalMs: 1000, inFlight: 4, scope: 'fleet', retryBudget: 0, retryFloor: 2}, \
+                classes: {keyed: {ratePerS: 4, burst: 4, scope: 'fleet'}}, \
+                routes: [{name: 'own', match: {service: 'x'}, inFlight: 3}]}";
     limits.swap(0.0, table_of(text, Some(4.0)));
     let resolved =
         |limits: &Limits, class, service| limits.resolve(&subject(class, service)).expect("limits");
