--- a/src/state/alarms.rs
+++ b/src/state/alarms.rs
@@ -1,4 +1,4 @@
-//! The alarms: what is due when.
+//! The alarms: pending timers in order of their time.
 
 use super::*;
 
@@ -22,7 +22,7 @@
 }
 
 impl Core {
-    /// When [`Input::Tick`] is wanted next.
+    /// The time at which the next [`Input::Tick`] is due.
     pub fn next_alarm(&self) -> Option<Seconds> {
         self.alarms.peek().map(|Reverse((at, _))| *at as f64 / 1e6)
     }
@@ -47,7 +47,7 @@
                     }
                 }
                 Alarm::Answer(job) => {
-                    // Guards rule 1, should the module have let a job pass its deadline.
+                    // Guards rule 1 if the placer let a job pass its deadline without an answer.
                     if self.jobs.get(&job).is_some_and(|j| j.phase == Phase::Pending) {
                         effects.push(Effect::Log(format!("job {:016x} was answered by its guard", job.0)));
                         self.take_back(now, job, Final::Failed, effects);
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -1,21 +1,23 @@
-//! The attempts of a job and the guards that hold whatever the module decides: one attempt out, no send to a machine
-//! that drains, the repeat window, and the end of what stood.
+//! The attempts of a job, and the guards that hold whatever the placer decides: one open attempt per job, no
+//! send to a draining machine, the repeat window, and the reported end of running tasks.
 
 use super::alarms::Alarm;
 use super::jobs::{Past, Spot};
 use super::machines::CUT;
 use super::*;
 
-/// Seconds. So long a machine has to answer that it heard a give-up: as long as it has for any test.
+/// Seconds. Time that a machine has to confirm a cancellation: the same as for any connection check.
 const PROOF_S: Seconds = 1.0;
-/// Share of `fall_s`. So long an attempt for a cold machine may wait to leave: the module counts its offers when they are
-/// decided, over windows that are longer by this (`COLD_WINDOWS` of the module).
+/// Share of `fall_s` that an attempt for a cold machine may wait in the send queue. The placer counts
+/// attempts when it decides them, over windows that are longer by this share (`COLD_WINDOWS` of the placer).
 const COLD_QUEUED: f64 = 0.25;
-/// Seconds. Kept free before the deadline for the answer of a job whose give-up nobody heard.
+/// Seconds. Time kept free before the deadline for the final answer of a job whose cancellation is not
+/// confirmed.
 const PROOF_SPARE_S: Seconds = 0.02;
 
 impl Core {
-    /// Carries out a bind, or tells why it must not go out.
+    /// Starts the attempt that the placer decided, or returns the event that reports to the placer that a
+    /// guard forbids it.
     pub(super) fn bind(
         &mut self,
         now: Seconds,
@@ -31,7 +33,8 @@
         let ready = entry.is_some_and(|e| e.standing == Standing::Ready);
         let spot = entry.map_or(Spot { machine, zone: ZoneId(0), cell: CellId(0) }, |e| e.spot());
         let limits = job.task.limits;
-        // A group tries a member again only once its earlier copy is proved gone; the window holds all the same.
+        // A group retries a member only once its earlier copy is proved gone; the repeat window applies all
+        // the same.
         let of_group = matches!(job.owner, Owner::Group { .. });
         let in_window = match (self.settings.classes[job.task.class].effect, job.risky_since) {
             (_, None) => true,
@@ -40,15 +43,16 @@
             (Effect_::Once, Some(_)) => false,
             (Effect_::Keyed { window_s, .. }, Some(since)) => now < since + window_s.min(limits.window_s),
         };
-        // What these forbid now they forbid for good: the module need not ask again.
+        // These conditions never become true again, so that the placer need not retry.
         let for_good =
             !in_window || job.unheard || attempt >= self.settings.max_attempts.min(limits.attempts);
         let in_group = match self.settings.classes[job.task.class].effect {
             Effect_::Keyed { group, .. } => job.is_together(group, spot),
             _ => true,
         };
-        // An answer tells no attempt's number. Where an earlier one was, a test before this one parts their answers;
-        // where its connection broke, what it left may be told on any later one.
+        // A machine's answers carry no attempt number. If an earlier attempt was sent to the same machine, a
+        // connection check before this one separates their answers. If the earlier one's connection broke, a
+        // message about it may arrive on any later connection, so that no check can separate them.
         let again = job.past.iter().any(|p| p.machine == machine);
         let parted =
             !again || (self.settings.probes && job.past.iter().all(|p| p.machine != machine || p.settled));
@@ -67,7 +71,8 @@
         }
         let job = self.jobs.get_mut(&id)?;
         let until = give_up_at.min(job.task.deadline).min(now + limits.attempt_s);
-        // It may wait in the queue until its window has ended, or until the machine's next part is let out.
+        // It may stay in the send queue until its repeat window ends, or until the cold machine's next share
+        // of attempts is due.
         let window_ends = match self.settings.classes[job.task.class].effect {
             Effect_::Keyed { window_s, .. } => {
                 job.risky_since.map(|since| since + window_s.min(limits.window_s))
@@ -112,7 +117,8 @@
         body: String,
         effects: &mut Vec<Effect>,
     ) {
-        // An answer after a give-up finds no trial and is dropped: the give-up follows it on its connection.
+        // An answer that arrives after a cancellation is dropped: the machine receives the cancellation after
+        // it sent the answer.
         let trial = self.jobs.get(&id).and_then(|j| j.trial);
         if !trial.is_some_and(|t| t.is_answered_by(at) && t.asked.is_none()) {
             return;
@@ -135,7 +141,7 @@
         self.feed(now, event, effects);
     }
 
-    /// An attempt that was out has an outcome.
+    /// Ends the open attempt of a job with an outcome.
     pub(super) fn trial_over(
         &mut self,
         now: Seconds,
@@ -154,7 +160,7 @@
         if !outcome.never_ran() {
             job.may_have_run(&trial);
             if matches!(job.owner, Owner::Group { .. }) {
-                // No copy of a member may run on that its group does not know of.
+                // A copy of a group member must not keep running without its group's knowledge.
                 effects.push(Effect::Stop { machine: trial.machine, job: id, cause: CUT });
                 self.unproved(id, trial.machine);
             }
@@ -170,7 +176,7 @@
         self.feed(now, Event::Ended(end), effects);
     }
 
-    /// A task that stood is over: its owner hears of it, unless the owner ended it.
+    /// Ends a running task; its owner is notified unless the owner itself stopped the task.
     pub(super) fn standing_over(
         &mut self,
         now: Seconds,
@@ -197,8 +203,8 @@
         self.feed(now, ended(id, attempt, outcome, why, true, report), effects);
     }
 
-    /// The time of an attempt is up. One that left is out until its machine is known to have heard the give-up: one
-    /// that is cut off hears none, and may still take it up.
+    /// Handles the time-out of an attempt. If it was sent, it stays open until its machine confirms the
+    /// cancellation: an unreachable machine does not receive the cancellation and may still start the task.
     pub(super) fn time_out(
         &mut self,
         now: Seconds,
@@ -212,20 +218,21 @@
         };
         let machine = trial.machine;
         if !trial.left {
-            // What never left the queue never ran, and must not leave it later.
+            // An attempt that is still queued never ran. It is removed so that it is not sent later.
             effects.push(Effect::GiveUp { machine, job: id });
             return self.trial_over(now, id, Outcome::ConnectFailed, Reason::Unknown, None, effects);
         }
         let Some(ask) = self.give_up_left(now, id, effects) else { return };
-        // Where no test may be sent, nothing can prove it.
+        // Without connection checks, a cancellation cannot be confirmed.
         if !self.settings.probes {
             return self.unheard(now, id, attempt, effects);
         }
         effects.push(Effect::Ask { machine, ask });
     }
 
-    /// Gives an attempt up that left: it is out until its machine is known to have given it up, or counts as unheard. Gives
-    /// the number of the test whose answer would prove it, where none is asked for yet and there is time for it.
+    /// Cancels an attempt that was sent. It stays open until its machine confirms the cancellation, or ends
+    /// as unconfirmed. Returns the number of the connection check whose answer would confirm it, unless a
+    /// check is already outstanding or no time is left for one.
     pub(super) fn give_up_left(
         &mut self,
         now: Seconds,
@@ -236,7 +243,7 @@
         let trial = job.trial.as_mut().filter(|t| t.asked.is_none())?;
         let (machine, attempt) = (trial.machine, trial.attempt);
         effects.push(Effect::GiveUp { machine, job: id });
-        // A group has its own proof.
+        // Groups keep track of their members' copies themselves.
         if matches!(job.owner, Owner::Group { .. }) {
             self.trial_over(now, id, Outcome::TimedOut, Reason::Unknown, None, effects);
             return None;
@@ -252,13 +259,13 @@
         Some(self.asks)
     }
 
-    /// Where an attempt is booked that has not left, and so never ran.
+    /// The machine for which an attempt is queued, if it was not sent yet and so never ran.
     pub(super) fn unsent(&self, id: RequestId, attempt: AttemptNo) -> Option<MachineId> {
         let trial = self.jobs.get(&id).and_then(|j| j.trial).filter(|t| t.attempt == attempt && !t.left);
         trial.map(|t| t.machine)
     }
 
-    /// Takes a job's attempt out of the books.
+    /// Removes the open attempt of a job, also from the index of its machine or departure.
     fn take_trial(&mut self, id: RequestId) -> Option<Trial> {
         let trial = self.jobs.get_mut(&id)?.trial.take()?;
         let booked = match (trial.departure, self.nodes.get_mut(trial.machine)) {
@@ -270,14 +277,14 @@
         Some(trial)
     }
 
-    /// The jobs of which such an attempt is out or queued at a machine.
+    /// The jobs with an open attempt at a machine that satisfies the predicate.
     pub(super) fn tried(&self, machine: MachineId, is: impl Fn(&Trial) -> bool) -> Vec<RequestId> {
         let Some(node) = self.nodes.get(machine) else { return vec![] };
         let hit = |id: &RequestId| self.jobs.get(id).and_then(|j| j.trial.as_ref()).is_some_and(&is);
         node.trying.iter().copied().filter(hit).collect()
     }
 
-    /// An attempt that left ends without a word of its machine: a copy may run there.
+    /// Marks an attempt that was sent as ending without its machine's confirmation: a copy may run there.
     fn lose_sight(&mut self, id: RequestId) {
         let Some(trial) = self.jobs.get_mut(&id).and_then(|j| j.trial.as_mut()) else { return };
         trial.out_of_sight = true;
@@ -285,7 +292,7 @@
         self.unproved(id, machine);
     }
 
-    /// A machine heard all that was written to it before it was asked that.
+    /// Handles the answer to a connection check: the machine received all that was written before it.
     pub(super) fn heard(&mut self, now: Seconds, machine: MachineId, ask: u64, effects: &mut Vec<Effect>) {
         for job in self.tried(machine, |t| t.fence.is_some_and(|fence| fence <= ask)) {
             if let Some(trial) = self.jobs.get_mut(&job).and_then(|j| j.trial.as_mut()) {
@@ -297,7 +304,8 @@
         }
     }
 
-    /// No word came of a give-up: the job ends here, as another attempt might be out beside that one.
+    /// Ends an attempt whose cancellation was not confirmed in time. The job ends with it, as another attempt
+    /// could run beside the first.
     pub(super) fn unheard(
         &mut self,
         now: Seconds,
@@ -313,7 +321,8 @@
         }
     }
 
-    /// The connection of a machine that left the list has ended, with an attempt that was out there.
+    /// Ends an attempt that was open when its machine left the list, now that the connection to that machine
+    /// has ended.
     pub(super) fn departure_ended(
         &mut self,
         now: Seconds,
@@ -329,7 +338,8 @@
         }
     }
 
-    /// A connection ended. Where its machine is not known to have ended it, too, what is out on it may be out for good.
+    /// Handles the end of a connection. Unless the machine is known to have seen the end, the attempts sent
+    /// on the connection may keep running.
     pub(super) fn link_broken(
         &mut self,
         now: Seconds,
@@ -361,7 +371,7 @@
             effects.push(Effect::GiveUp { machine: trial.machine, job: id });
         }
         if trial.left && matches!(job.owner, Owner::Group { .. }) {
-            // The give-up is lost with its connection; this is not.
+            // A cancellation is lost if the connection breaks; a stop order is sent again.
             effects.push(Effect::Stop { machine: trial.machine, job: id, cause: CUT });
         }
         if trial.left {
@@ -370,7 +380,7 @@
         Some(trial)
     }
 
-    /// Ends the attempts at a machine that have left this process, or those that have not.
+    /// Ends the attempts at a machine that were sent, or those that are still queued.
     pub(super) fn break_trials(
         &mut self,
         now: Seconds,
@@ -380,7 +390,7 @@
         effects: &mut Vec<Effect>,
     ) {
         for job in self.tried(machine, |t| t.left == left) {
-            // What was open on a connection that broke is given up by that, should its machine see it break.
+            // A machine abandons what was open on a connection once it sees that connection break.
             if left {
                 self.lose_sight(job);
             } else {
@@ -392,7 +402,7 @@
     }
 }
 
-/// An attempt that is not let out; `last` where no other will be.
+/// The event for an attempt that a guard forbids; `last` if no other attempt will be allowed.
 fn moot(request: RequestId, attempt: AttemptNo, last: bool) -> Event {
     let (outcome, reason) = (Outcome::Moot, Reason::Unknown);
     Event::Ended(End { request, attempt, outcome, reason, finished: false, last, report: None })
--- a/src/state/departures.rs
+++ b/src/state/departures.rs
@@ -1,13 +1,14 @@
-//! Attempts at machines that left the list. The list's word does not end what runs at a machine: an attempt there stays out
-//! until the machine's connection is known to have ended, which shows that the machine gave it up.
+//! Open attempts at machines that left the list. Leaving the list does not end what runs at a machine: an
+//! attempt stays open until the connection to the machine is known to have ended, which shows that the
+//! machine abandoned the attempt.
 
 use crate::placer::{MachineId, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of a departure; never used twice.
+/// The number of a departure; never reused.
 pub type DepartureId = u64;
 
-/// A machine that left, and the jobs of which an attempt was out there.
+/// A machine that left the list, and the jobs with an open attempt there.
 #[derive(Debug)]
 pub(super) struct Departed {
     pub machine: MachineId,
@@ -22,19 +23,19 @@
 }
 
 impl Departures {
-    /// Books that a machine leaves with these attempts out.
+    /// Records that a machine left the list while these jobs had an open attempt there.
     pub fn begin(&mut self, machine: MachineId, jobs: BTreeSet<RequestId>) -> DepartureId {
         self.count += 1;
         self.open.insert(self.count, Departed { machine, jobs });
         self.count
     }
 
-    /// An attempt there is over; whether it was booked.
+    /// Removes a job whose attempt is over; returns whether it was recorded.
     pub fn remove(&mut self, departure: DepartureId, job: RequestId) -> bool {
         self.open.get_mut(&departure).is_some_and(|departed| departed.jobs.remove(&job))
     }
 
-    /// The machine's connection has ended.
+    /// Removes a departure whose connection has ended.
     pub fn end(&mut self, departure: DepartureId) -> Option<Departed> {
         self.open.remove(&departure)
     }
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -1,5 +1,5 @@
-//! The planner's part in its fleet: words of other planners in, words to them out. The decisions are `decide::fleet`'s and
-//! `decide::budgets`'.
+//! The planner's part in its fleet: messages from and to other planners. `decide::fleet` and
+//! `decide::budgets` make the decisions.
 
 use super::alarms::Alarm;
 use super::*;
@@ -7,21 +7,21 @@
 use crate::decide::fleet::{Life, Member, Micros};
 use crate::decide::limits::micros;
 
-/// The fleet as it can be looked at.
+/// The fleet, as readers see it.
 #[derive(Clone, Debug)]
 pub struct FleetView {
-    /// This planner, and how many there are.
+    /// The number of this planner, and the number of planners.
     pub place: (Member, Member),
-    /// Planners heard lately.
+    /// Count. Planners from which a message arrived recently.
     pub here: usize,
-    /// Slots held, and the seconds for which each is.
+    /// The slots held, each with the remaining seconds of its lease.
     pub slots: Vec<(Member, Seconds)>,
-    /// The budgets.
+    /// The state of each shared budget.
     pub budgets: Vec<State>,
 }
 
 impl Core {
-    /// The fleet, where the planner is in one.
+    /// The fleet, if the planner is part of one.
     pub fn fleet_view(&mut self, now: Seconds) -> Option<FleetView> {
         let books = self.limits.limits.books()?;
         let now = micros(now);
@@ -50,7 +50,7 @@
         say(out, effects);
     }
 
-    /// What is due in the fleet; again after a while.
+    /// Carries out what is due in the fleet, and schedules the next call.
     pub(super) fn fleet_tick(&mut self, now: Seconds, effects: &mut Vec<Effect>) {
         let Some(books) = self.limits.limits.books() else { return };
         let mut out = Vec::new();
@@ -61,7 +61,7 @@
         self.alarm(now + every, Alarm::Fleet);
     }
 
-    /// The planner stops: what it holds of the fleet goes to others.
+    /// Returns the planner's shares of the fleet's budgets, because the planner shuts down.
     pub(super) fn leave_fleet(&mut self) {
         if let Some(books) = self.limits.limits.books() {
             books.leave();
@@ -69,7 +69,7 @@
     }
 }
 
-/// Puts the words to each planner together.
+/// Sends the messages, collected into one effect per planner.
 fn say(out: Vec<(Member, Word)>, effects: &mut Vec<Effect>) {
     let mut by_member: BTreeMap<Member, Vec<Word>> = BTreeMap::new();
     out.into_iter().for_each(|(to, word)| by_member.entry(to).or_default().push(word));
--- a/src/state/ghosts.rs
+++ b/src/state/ghosts.rs
@@ -1,13 +1,13 @@
-//! Ids of jobs that are over and of which a copy may still run: nobody proved the contrary. An id that comes again
-//! while its first copy may run is not sent anew, as no machine could tell the two apart.
+//! Ids of finished jobs of which a copy may still run, as no machine has confirmed its end. If such an id is
+//! submitted again, the job is not sent, because no machine could tell the two apart.
 
 use crate::placer::{MachineId, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Count. Ids that are remembered, the newest ones: some 100 bytes each.
+/// Count. Maximum number of ids kept, the newest ones, at about 100 bytes each.
 pub(super) const MOST_GHOSTS: usize = 4096;
 
-/// The ids, and the machines that may hold a copy.
+/// The ids, each with the machines that may hold a copy.
 #[derive(Default)]
 pub(super) struct Ghosts {
     machines: BTreeMap<RequestId, Vec<MachineId>>,
@@ -15,7 +15,7 @@
 }
 
 impl Ghosts {
-    /// Books that a copy may be at a machine.
+    /// Records that a copy may run at a machine.
     pub fn book(&mut self, job: RequestId, machine: MachineId) {
         let at = self.machines.entry(job).or_default();
         if at.is_empty() {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A machine says that its copy is over.
+    /// Records that a machine reported the end of its copy.
     pub fn prove_gone(&mut self, job: RequestId, machine: MachineId) {
         let Some(at) = self.machines.get_mut(&job) else { return };
         at.retain(|other| *other != machine);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A machine's process is gone with all that it held.
+    /// Records that a machine's process is gone with all its copies.
     pub fn prove_all_gone(&mut self, machine: MachineId) {
         self.machines.retain(|_, at| {
             at.retain(|other| *other != machine);
@@ -51,7 +51,7 @@
         order.retain(|job| machines.contains_key(job));
     }
 
-    /// Whether a copy of that job may run.
+    /// Whether a copy of the job may still run.
     pub fn may_run(&self, job: RequestId) -> bool {
         self.machines.contains_key(&job)
     }
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -1,5 +1,6 @@
-//! The groups: what each knows of its members, and of copies that are not proved gone. The decisions are
-//! `decide::groups`'; here its members become jobs, and what befalls those jobs becomes its events.
+//! The groups: their members, and the members' copies that are not proved gone. `decide::groups` makes the
+//! decisions; this module submits the members as jobs and turns the outcomes of these jobs into the group's
+//! events.
 
 use super::machines::CUT;
 use super::*;
@@ -11,12 +12,13 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Count. Copies that are cut again whenever their machines come back; the oldest are let go first.
+/// Count. Members' copies for which stop orders are repeated when their machines reconnect; the oldest are
+/// dropped first.
 const MOST_CUTS: usize = 16_384;
-/// Seconds. When to come back where a group asks for more than it ever may.
+/// Seconds. Retry delay reported for a group that requests more than it can ever get.
 const NEVER_RETRY_S: Seconds = 30.0;
 
-/// A member's copy that was told to go, by the machines that have not said that it is gone.
+/// A member's copy that was ordered to stop, with the machines that have not confirmed its end.
 struct Cut {
     of: (GroupId, usize),
     machines: BTreeSet<MachineId>,
@@ -36,7 +38,7 @@
     digest: u64,
     deadline: Seconds,
     share: f64,
-    /// Jobs that were made for it, which gives each an id of its own.
+    /// Count. Jobs created for the group so far; part of the hash that gives each job its id.
     made: u32,
     answer: Option<Answer>,
     version: u64,
@@ -49,54 +51,54 @@
     keys: BTreeMap<String, GroupId>,
     over: VecDeque<GroupId>,
     cuts: BTreeMap<RequestId, Cut>,
-    /// The order in which cuts were booked.
+    /// The jobs with pending stop orders, oldest first.
     cut_order: VecDeque<RequestId>,
-    /// Members whose copies were just proved gone.
+    /// Members whose copies were just proved gone and whose groups are not informed yet.
     proved: Vec<(GroupId, usize)>,
     pub starts: Starts,
     pub ends: Ends,
-    /// What holds for groups that come from now on; nothing where groups are off.
+    /// The settings for groups that are submitted from now on; `None` if groups are disabled.
     pub settings: Option<Arc<GroupSettings>>,
 }
 
-/// A member of a group as it can be looked at.
+/// A group member, as readers see it.
 #[derive(Clone, Debug)]
 pub struct MemberView {
-    /// Its job, once there is one.
+    /// The member's latest job, once there is one.
     pub job: Option<RequestId>,
-    /// How that job stands.
+    /// The state of that job.
     pub phase: Option<Phase>,
-    /// Where it stands.
+    /// The machine at which it runs or ran.
     pub machine: Option<String>,
-    /// Machines that have not said that its copy is gone.
+    /// Machines that have not confirmed the end of the member's copy.
     pub unreachable: Vec<String>,
 }
 
-/// A group at one version.
+/// A group at one version, as readers see it.
 #[derive(Clone, Debug)]
 pub struct GroupView {
-    /// Its id.
+    /// The group's id.
     pub id: GroupId,
-    /// Where it stands.
+    /// The machine at which it runs or ran.
     pub phase: groups::Phase,
-    /// The final answer, once it was given.
+    /// The final answer, once given.
     pub answer: Option<Answer>,
-    /// Why it was given up, also after the answer.
+    /// The reason for giving up, also if that came after the answer.
     pub why: Option<Why>,
-    /// Tries of the whole.
+    /// Count. Attempts to place the whole group.
     pub tries: u32,
-    /// When its owner gives up on it.
+    /// The time at which the owner stops waiting.
     pub deadline: Seconds,
-    /// The key that all asks for it share.
+    /// The idempotency key, shared by all retries of the request.
     pub key: Option<String>,
-    /// Its members.
+    /// The members.
     pub members: Vec<MemberView>,
-    /// Version of its last change.
+    /// Version of the last change.
     pub version: u64,
 }
 
 impl Groups {
-    /// Groups that wait for their final answer.
+    /// Number of groups that wait for their final answer.
     pub fn unanswered(&self) -> usize {
         self.books.values().filter(|b| b.answer.is_none()).count()
     }
@@ -110,7 +112,7 @@
     }
 }
 
-/// What an answer to a member means to its group.
+/// Translates an answer to a member's job into the group's event.
 fn of_group(effect: &Effect) -> Option<(GroupId, Event)> {
     let (owner, event): (&Owner, fn(usize, &Effect) -> Event) = match effect {
         Effect::Placed { owner, .. } => (owner, |member, _| Event::Stands { member }),
@@ -132,17 +134,17 @@
 }
 
 impl Core {
-    /// A group that is known still.
+    /// A group, unless it was never submitted or is already forgotten.
     pub fn group_view_of(&self, id: GroupId) -> Option<GroupView> {
         self.groups.books.get(&id).map(|book| self.group_view(id, book))
     }
 
-    /// The final answer of a group that is known still, where it was given.
+    /// The final answer of a group, if it was given and the group is not forgotten.
     pub fn group_answer(&self, id: GroupId) -> Option<Answer> {
         self.groups.books.get(&id)?.answer
     }
 
-    /// Every group, the one that changed last at the end.
+    /// All groups, sorted by their last change.
     pub fn group_views(&self) -> Vec<GroupView> {
         let mut views: Vec<GroupView> =
             self.groups.books.iter().map(|(&id, book)| self.group_view(id, book)).collect();
@@ -150,18 +152,18 @@
         views
     }
 
-    /// The group with that key, and what tells its ask from another.
+    /// The group with that idempotency key, and the digest of its request.
     pub fn group_keyed(&self, key: &str) -> Option<(GroupId, u64)> {
         let id = *self.groups.keys.get(key)?;
         Some((id, self.groups.books.get(&id)?.digest))
     }
 
-    /// What holds for groups that come from now on; nothing where they are off.
+    /// The settings for groups that are submitted from now on; `None` if groups are disabled.
     pub fn group_settings(&self) -> Option<Arc<GroupSettings>> {
         self.groups.settings.clone()
     }
 
-    /// Groups that are not over.
+    /// Number of groups that are not over.
     pub fn open_groups(&self) -> usize {
         self.groups.books.len() - self.groups.over.len()
     }
@@ -232,7 +234,7 @@
         self.group_acts(now, id, actions, effects);
     }
 
-    /// The planner stops: groups that do not stand whole are given up.
+    /// Cancels the groups that are not completely placed, because the planner shuts down.
     pub(super) fn stop_groups(&mut self, now: Seconds, effects: &mut Vec<Effect>) {
         let ids: Vec<GroupId> = self.groups.books.keys().copied().collect();
         for id in ids {
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Lets a group hear an event, and does what it asks for.
+    /// Passes an event to a group and carries out the resulting actions.
     pub(super) fn group_hears(&mut self, now: Seconds, id: GroupId, event: Event, effects: &mut Vec<Effect>) {
         let Some(book) = self.groups.books.get_mut(&id) else { return };
         let before = (book.group.phase(), book.group.standing().count());
@@ -253,7 +255,7 @@
         self.group_acts(now, id, actions, effects);
     }
 
-    /// Turns answers to members into events of their groups, until nothing more follows.
+    /// Turns answers to members into events of their groups, until no further event follows.
     pub(super) fn settle_groups(&mut self, now: Seconds, from: usize, effects: &mut Vec<Effect>) {
         if self.groups.books.is_empty() {
             self.groups.proved.clear();
@@ -308,7 +310,7 @@
         }
     }
 
-    /// Looks whether there is room for the whole group beside what others were promised.
+    /// Checks whether there is room for the whole group beside what is reserved for other groups.
     fn admit_group(&mut self, now: Seconds, id: GroupId, effects: &mut Vec<Effect>) {
         let need = |settings: &Settings, m: &Member| Need {
             room: m.task.room,
@@ -316,7 +318,7 @@
         };
         let Some(book) = self.groups.books.get(&id) else { return };
         let needs: Vec<Need> = book.members.iter().map(|m| need(&self.settings, m)).collect();
-        // What was promised and is not bound yet: a bind is in the module's own count.
+        // Reserved but without an open attempt: the placer already counts the room of an attempt.
         let unbound = |m: &Member| {
             let job = m.job.and_then(|job| self.jobs.get(&job));
             job.is_some_and(|j| j.phase == Phase::Pending && j.trial.is_none())
@@ -339,7 +341,7 @@
         self.group_hears(now, id, event, effects);
     }
 
-    /// Hands a member in as a job of its own, with an id that was not used before.
+    /// Submits a member as a job of its own, with a new id.
     fn place_member(&mut self, now: Seconds, id: GroupId, member: usize, effects: &mut Vec<Effect>) {
         let Some(book) = self.groups.books.get_mut(&id) else { return };
         let job = loop {
@@ -380,8 +382,8 @@
         }
     }
 
-    /// Books that a copy of a job may be at a machine until that says otherwise; one of a member is cut again
-    /// whenever its machine comes back.
+    /// Records that a copy of a job may run at a machine, until the machine reports its end. For a group
+    /// member, the stop order is repeated whenever the machine reconnects.
     pub(super) fn unproved(&mut self, job: RequestId, machine: MachineId) {
         if !self.nodes.contains(machine) {
             return; // It has left the list: its process is gone.
@@ -401,7 +403,7 @@
         cut.machines.insert(machine);
     }
 
-    /// A machine says that a copy is over.
+    /// Handles a machine's report that a copy is over.
     pub(super) fn prove_gone(&mut self, job: RequestId, machine: MachineId) {
         self.ghosts.prove_gone(job, machine);
         if let Some(cut) = self.groups.cuts.get_mut(&job) {
@@ -410,7 +412,7 @@
         }
     }
 
-    /// A machine's process is gone with all that it held.
+    /// Handles the proof that a machine's process is gone with all its copies.
     pub(super) fn prove_all_gone(&mut self, machine: MachineId) {
         self.ghosts.prove_all_gone(machine);
         let here = |cut: &Cut| cut.machines.contains(&machine);
@@ -419,7 +421,7 @@
         jobs.into_iter().for_each(|job| self.prove_gone(job, machine));
     }
 
-    /// A machine is there again: the first that it hears is what it is to cut.
+    /// A machine has reconnected: the stop orders that it has not confirmed are sent to it first.
     pub(super) fn cut_again(&mut self, machine: MachineId, effects: &mut Vec<Effect>) {
         let here = |(_, cut): &(&RequestId, &Cut)| cut.machines.contains(&machine);
         let jobs = self.groups.cuts.iter().filter(here).map(|(&job, _)| job);
--- a/src/state/history.rs
+++ b/src/state/history.rs
@@ -1,9 +1,9 @@
-//! The bounded history of changes that watchers read from. A version is never used twice.
+//! The bounded history of changes from which watchers read. A version is never reused.
 
 use super::Object;
 use std::collections::VecDeque;
 
-/// What happened to an object.
+/// The kind of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     Added,
@@ -11,7 +11,7 @@
     Deleted,
 }
 
-/// One change.
+/// A change of one object.
 #[derive(Clone, Debug)]
 pub struct Change {
     pub version: u64,
@@ -19,12 +19,12 @@
     pub object: Object,
 }
 
-/// What a watcher that comes with a version gets.
+/// The result of reading the history from a version on.
 #[derive(Debug)]
 pub enum Resume {
-    /// All that came after it.
+    /// The changes after the version.
     Changes(Vec<Change>),
-    /// The version has left the history, or never was: list again.
+    /// The version is too old for the history, or was never assigned: the watcher must list again.
     Gone,
 }
 
@@ -58,7 +58,7 @@
         self.changes.push_back(Change { version: self.version, kind, object });
     }
 
-    /// Up to `most` changes after a version; nothing is lost or doubled between two calls that follow on.
+    /// Returns up to `most` changes after a version. Consecutive calls neither skip nor repeat a change.
     pub fn since(&self, version: u64, most: usize) -> Resume {
         let oldest = self.changes.front().map_or(self.version + 1, |c| c.version);
         if version > self.version || version + 1 < oldest {
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -1,24 +1,25 @@
-//! The jobs: how they come in, wait, and end.
+//! The life cycle of jobs: submission, waiting, final answer and removal.
 
 use super::*;
 
-/// Bytes that a job takes beside its description.
+/// Bytes that a job takes besides its description.
 pub(super) const JOB_BYTES: usize = 1024;
-/// Count. Jobs that may wait on one connection: no owner alone may take what all share.
+/// Count. Pending jobs allowed on one client connection, so that no single client takes the memory that all
+/// share.
 pub(super) const MOST_ON_LINK: usize = 1000;
-/// Seconds. A task that stands at a machine which the list has not named by then counts as lost.
+/// Seconds. A running task counts as lost if the machine list has not named its machine within this time.
 const UNLISTED_S: Seconds = 2.5;
-/// Seconds. A refusal so close to the deadline is told as the deadline's.
+/// Seconds. A refusal this close to the deadline is reported as a missed deadline.
 const NEAR_DEADLINE_S: Seconds = 0.05;
-/// Seconds. When a job that was turned away at the door may come back.
+/// Seconds. Retry delay reported for a job that is refused without having been tried.
 const DOOR_RETRY_S: Seconds = 1.0;
-/// Seconds. Grace after the deadline within which an answer is forced, should the module have given none.
+/// Seconds. Time after the deadline at which an answer is forced if the placer has given none.
 const FORCED_ANSWER_S: Seconds = 0.02;
-/// Multiple. No owner waits longer than so many times what its class usually waits.
+/// Multiple of the class's usual deadline. A job with a longer waiting time is not admitted.
 const MOST_WAIT_TIMES: f64 = 8.0;
 
 impl Job {
-    /// Books that an attempt may have run.
+    /// Records that an attempt may have run.
     pub(super) fn may_have_run(&mut self, trial: &Trial) {
         if self.risky_since.is_none() {
             (self.risky_since, self.risky_at) = (Some(trial.at), Some(trial.spot));
@@ -26,7 +27,8 @@
         self.own_risk = true;
     }
 
-    /// Whether a machine lies in that place with the one at which the job may have run first.
+    /// Whether a machine is in the same place (machine, cell or zone) as the one at which the job may have
+    /// run first.
     pub(super) fn is_together(&self, place: Place, there: Spot) -> bool {
         self.risky_at.is_none_or(|first| match place {
             Place::All => true,
@@ -37,18 +39,19 @@
     }
 }
 
-/// The last word on a job that is taken back.
+/// The final answer to a job that is withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Final {
-    /// It failed: it may have run.
+    /// Failed: the job may have run.
     Failed,
-    /// It is refused: it never ran.
+    /// Refused: the job never ran.
     Refused,
-    /// Its owner does not wait.
+    /// No answer: the owner does not wait for one.
     Unowed,
 }
 
-/// Where a machine lies; kept with a job, as its machine may leave the list within the window.
+/// The location of a machine. It is kept with a job, as the machine may leave the list within the repeat
+/// window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Spot {
     pub machine: MachineId,
@@ -56,15 +59,16 @@
     pub cell: CellId,
 }
 
-/// An attempt that left and is over.
+/// A past attempt that was sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Past {
     pub machine: MachineId,
-    /// Its machine's word, or proof, ended it: nothing more of it comes after the answer to a later test.
+    /// Whether the machine reported or confirmed its end: then no message about it follows the answer to a
+    /// later connection check.
     pub settled: bool,
 }
 
-/// An attempt that is out.
+/// The open attempt of a job: queued or sent, and not over.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Trial {
     pub attempt: AttemptNo,
@@ -72,70 +76,74 @@
     pub spot: Spot,
     pub at: Seconds,
     pub left: bool,
-    /// An earlier attempt was there: what comes before the answer to this test belongs to that one.
+    /// The connection check sent before this attempt, because an earlier attempt was sent to the same
+    /// machine; messages that arrive before its answer belong to the earlier attempt.
     pub fence: Option<u64>,
-    /// It was given up, and counts as out until its machine answers this.
+    /// Set once the attempt is cancelled: the connection check whose answer confirms the cancellation. The
+    /// attempt counts as open until then.
     pub asked: Option<u64>,
-    /// It is over without a word of its machine: a copy may run, and an answer may still come.
+    /// The attempt ended without confirmation by its machine: a copy may run, and an answer may still arrive.
     pub out_of_sight: bool,
-    /// Its machine left the list, and its connection is not known to have ended.
+    /// Set if the machine left the list and its connection is not known to have ended.
     pub departure: Option<DepartureId>,
 }
 
 impl Trial {
-    /// Whether a word of that machine is for this attempt.
+    /// Whether a message of that machine about the job belongs to this attempt.
     pub fn is_answered_by(&self, machine: MachineId) -> bool {
         self.machine == machine && self.left && self.fence.is_none()
     }
 }
 
-/// A job and what came of it.
+/// A job and its state.
 #[derive(Debug)]
 pub struct Job {
-    /// Who waits.
+    /// The client that receives the answers.
     pub owner: Owner,
-    /// What travels on.
+    /// The data forwarded to the machine.
     pub spec: Arc<Spec>,
-    /// What the module knows.
+    /// The input of the placement decision.
     pub task: Task,
-    /// Where it stands.
+    /// The job's state.
     pub phase: Phase,
-    /// Offers made.
+    /// Count. Attempts so far, queued ones included.
     pub attempts: usize,
-    /// Where it stands or stood.
+    /// The machine at which the task runs or ran.
     pub machine: Option<MachineId>,
-    /// How the last attempt ended.
+    /// Outcome of the last attempt.
     pub last: Option<(Outcome, Reason)>,
-    /// When the owner may come back.
+    /// Seconds. Retry delay reported to the owner.
     pub retry_in_s: Seconds,
-    /// When the first attempt went out that may have run.
+    /// Start time of the first attempt that may have run.
     pub risky_since: Option<Seconds>,
-    /// Where that was.
+    /// The location of that attempt's machine.
     pub(super) risky_at: Option<Spot>,
-    /// Whether that was an attempt of this very job, and not of one before it under its key.
+    /// Whether an attempt of this job may have run, rather than of an earlier job with the same key.
     pub(super) own_risk: bool,
-    /// Version of its last change.
+    /// Version of the last change.
     pub version: u64,
-    /// The limit by which it was given up.
+    /// The operators' limit that refused a further attempt.
     pub turned: Option<Turned>,
-    /// What it holds of the limits under which it was taken, until its final answer.
+    /// What the job holds of the limits' budgets, until its final answer.
     pub(super) ticket: Option<Ticket>,
-    /// An attempt of it was let out.
+    /// Whether an attempt was charged to the limits.
     pub(super) tried: bool,
     pub(super) trial: Option<Trial>,
-    /// Earlier attempts that left, until the final answer.
+    /// Earlier attempts that were sent; cleared when the task runs.
     pub(super) past: Vec<Past>,
-    /// An attempt was given up and its machine never said that it heard: it may be out for good.
+    /// A cancelled or interrupted attempt was not confirmed by its machine and may still run; no further
+    /// attempt is made.
     pub(super) unheard: bool,
     pub(super) placed_at: Seconds,
 }
 
 impl Core {
-    /// Whether a job is one that some machine could take, within the times that the settings know. What no machine
-    /// can ever take would only wait for its deadline, and a far deadline would be kept for good.
+    /// Checks that some machine could take the job and that its deadline is within the class's bounds. A job
+    /// that no machine can take would only wait for its deadline, and one with a distant deadline would stay
+    /// in memory.
     ///
     /// # Errors
-    /// Which of its figures is out of range.
+    /// The name of the field that is out of range.
     pub fn admits(&self, now: Seconds, ask: &Ask) -> Result<(), &'static str> {
         let room = ask.task.room;
         let class = self.settings.classes.get(ask.task.class).ok_or("class")?;
@@ -160,7 +168,8 @@
         if self.jobs.contains_key(&id) {
             return self.used_twice(now, id, owner, effects);
         }
-        // Its first copy may run: sent again, nobody could tell what an answer is for.
+        // A copy of an earlier job with this id may run, and answers could not be attributed to one of the
+        // two.
         if self.ghosts.may_run(id) {
             return effects.push(Effect::Failed { owner, job: id });
         }
@@ -186,9 +195,10 @@
         self.feed(now, Event::Submitted { request: id, task }, effects);
     }
 
-    /// An id that is in use comes again. On another connection that is not its owner's doing, and nothing is said
-    /// there that could be taken for word of the first. On the same one nobody can tell which an answer is for: what
-    /// waits is failed, and no second answer is owed.
+    /// Handles a submission with an id that is in use. On another connection the owner of the first job is
+    /// not at fault, and nothing is sent there that could be taken for an answer to the first job. On the
+    /// same connection answers could not be attributed: a pending job fails, and the second submission gets
+    /// no answer of its own.
     pub(super) fn used_twice(
         &mut self,
         now: Seconds,
@@ -210,8 +220,8 @@
         if let (Some(key), Owner::Rest | Owner::Group { .. }) = (&ask.spec.key, ask.owner) {
             let at = (ask.spec.class.clone(), key.clone());
             let before = self.keys.insert(at, ask.job).and_then(|before| self.jobs.get(&before));
-            // A retry stays inside the window that its first try opened. What stood has ended for certain, and
-            // past the window an owner's ask is a placing of its own, as on the platform.
+            // A retry stays in the repeat window that the first try opened. A job that was running has
+            // certainly ended, and after the window a request counts as a new placement, as on the platform.
             let before = before.filter(|j| j.machine.is_none());
             risky_at = before.and_then(|j| j.risky_at);
             let risky = before.and_then(|j| j.risky_since);
@@ -254,7 +264,7 @@
         }
     }
 
-    /// Books a job as one that waits, or as one that does so no more.
+    /// Counts a job as pending, or removes it from the count.
     pub(super) fn count_waiting(&mut self, id: RequestId, waits: bool) {
         let Some(job) = self.jobs.get(&id) else { return };
         let step = |count: usize, by: usize| if waits { count + by } else { count.saturating_sub(by) };
@@ -268,7 +278,7 @@
 
     pub(super) fn adopt(&mut self, now: Seconds, ask: Ask, machine: MachineId, effects: &mut Vec<Effect>) {
         if self.jobs.contains_key(&ask.job) {
-            return; // It may name what is held already.
+            return; // The owner may report a task that is already known.
         }
         let (id, task, owner) = (ask.job, ask.task, ask.owner);
         if self.jobs.len() - self.pending - self.over.len() >= self.keep.standing {
@@ -281,21 +291,22 @@
         match self.nodes.stands(machine, id) {
             Stands::First => effects.push(Effect::Watch { machine }),
             Stands::BesideOthers => {}
-            // A machine that nobody knows will never tell of its end.
+            // No end can be reported by a machine to which there is no connection.
             Stands::Unlisted => self.alarm(now + UNLISTED_S, Alarm::Unlisted(id)),
         }
         self.changed(id, ChangeKind::Added, effects);
         self.feed(now, Event::Resident { request: id, task, machine }, effects);
     }
 
-    /// What stands needs no description any more, unless it can be looked at.
+    /// Drops the description of a running task that came on a platform connection; REST clients can still
+    /// read theirs.
     pub(super) fn lighten(&mut self, id: RequestId) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|j| matches!(j.owner, Owner::Link(_))) {
             job.spec = Arc::new(Spec { body: String::new(), ..Spec::clone(&job.spec) });
         }
     }
 
-    /// The one final answer of the module; `retry_in_s` is there where it refuses.
+    /// Sends the final answer that the placer decided: a refusal if `retry_in_s` is set, else a failure.
     pub(super) fn answer(
         &mut self,
         now: Seconds,
@@ -327,7 +338,7 @@
         self.close(now, id, phase, effects);
     }
 
-    /// The owner gives a job up or ends a task.
+    /// Cancels a pending job or stops a running task, on its owner's request.
     pub(super) fn cancel(&mut self, now: Seconds, id: RequestId, cause: u8, effects: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(&id).filter(|j| !j.phase.is_over()) else { return };
         let (phase, machine, attempt) = (job.phase, job.machine, job.attempts.saturating_sub(1));
@@ -344,7 +355,7 @@
         }
     }
 
-    /// Ends a job that waits, with a final answer or, where none is owed, without; the module hears of it.
+    /// Ends a pending job, with a final answer unless the owner expects none, and informs the placer.
     pub(super) fn take_back(&mut self, now: Seconds, id: RequestId, last: Final, effects: &mut Vec<Effect>) {
         let trial = self.give_up_trial(id, effects);
         match last {
@@ -359,7 +370,7 @@
         }
     }
 
-    /// Takes a job out of the open ones; it can be looked at for a while where anybody can look.
+    /// Moves a job to a final state; it stays readable for a while if the core keeps finished jobs.
     pub(super) fn close(&mut self, now: Seconds, id: RequestId, phase: Phase, effects: &mut Vec<Effect>) {
         if self.jobs.get(&id).is_some_and(|j| j.phase == Phase::Pending) {
             self.answered(now, id);
@@ -408,7 +419,7 @@
         }
     }
 
-    /// Gives a job a new version, which watchers see.
+    /// Assigns a new version to a job and adds it to the history for watchers.
     pub(super) fn changed(&mut self, id: RequestId, kind: ChangeKind, effects: &mut Vec<Effect>) {
         let version = self.history.next_version();
         let Some(job) = self.jobs.get_mut(&id) else { return };
--- a/src/state/limits.rs
+++ b/src/state/limits.rs
@@ -1,12 +1,13 @@
-//! The operators' limits: what is in force, and what jobs hold of it. The decisions are `decide::limits`'.
+//! The operators' limits: the table in force, and the budget that each job holds. `decide::limits` makes the
+//! decisions.
 
 use super::*;
 use crate::decide::limits::Reading;
 
-/// Count. Faults of a refused file that are kept for looking at.
+/// Count. Errors of a rejected file that are kept for reading.
 const MOST_FAULTS: usize = 20;
 
-/// The limits and where they came from.
+/// The limits in force, and the file from which they came.
 pub(super) struct InForce {
     pub limits: Limits,
     generation: u64,
@@ -15,20 +16,20 @@
     refused: Option<(Seconds, Vec<String>)>,
 }
 
-/// What is in force, as it can be looked at.
+/// The limits in force, as readers see them.
 #[derive(Clone, Debug)]
 pub struct LimitsView {
-    /// Counts the files that were taken; 0 where there is none.
+    /// Count of files applied so far; 0 if there was none.
     pub generation: u64,
-    /// SHA-256 of the file's text; empty where there is none.
+    /// SHA-256 of the file's text; empty if there is none.
     pub digest: String,
-    /// When it was taken.
+    /// Time at which the file was applied.
     pub since: Seconds,
-    /// When a file was refused last, and why.
+    /// Time and errors of the last rejected file.
     pub refused: Option<(Seconds, Vec<String>)>,
-    /// What is counted.
+    /// The current value of each counter.
     pub readings: Vec<Reading>,
-    /// The file.
+    /// The compiled file.
     pub table: Arc<Table>,
 }
 
@@ -44,7 +45,7 @@
 }
 
 impl Core {
-    /// What is in force, and how it is made use of.
+    /// The limits in force and their current use.
     pub fn limits_view(&mut self, now: Seconds) -> LimitsView {
         let own = &mut self.limits;
         LimitsView {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Gauges that are kept.
+    /// Number of gauges in memory.
     #[cfg(test)]
     pub fn gauges_kept(&self) -> usize {
         self.limits.limits.kept()
@@ -69,7 +70,8 @@
         self.limits.generation += 1;
     }
 
-    /// Gives a job the limits in force, under which it then stays, or turns it away.
+    /// Applies the limits in force to a new job, or rejects the job. A job keeps these limits when the file
+    /// changes.
     pub(super) fn limit(&mut self, now: Seconds, mut ask: Ask) -> Result<(Ask, Option<Ticket>), Turned> {
         let front = match ask.owner {
             Owner::Link(_) => Front::Platform,
@@ -81,15 +83,16 @@
         let Resolved { task, total_s, .. } = *resolved;
         let until = ask.task.deadline.min(now + total_s);
         let ticket = self.limits.limits.admit(now, &resolved, until)?;
-        // A member that may have run is its group's matter: no copy of it goes out beside one that is not proved gone.
+        // The group decides on retries of a member that may have run: it sends no copy before the earlier one
+        // is proved gone.
         let copies = task.copies && !matches!(ask.owner, Owner::Group { .. });
         ask.task.limits = TaskLimits { copies, ..task };
-        // An owner's own time is shortened, never lengthened.
+        // The limits may shorten the owner's deadline, but never extend it.
         ask.task.deadline = until;
         Ok((ask, ticket))
     }
 
-    /// A job waits no more: it gives back what it holds.
+    /// Removes a job from the pending ones and returns its budget.
     pub(super) fn answered(&mut self, now: Seconds, id: RequestId) {
         self.count_waiting(id, false);
         if let Some(ticket) = self.jobs.get_mut(&id).and_then(|job| job.ticket.take()) {
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Counts a try that is about to go out; false where it is not paid for.
+    /// Charges an attempt that is about to start to the job's limits; returns false if a limit forbids it.
     pub(super) fn pay_for_try(&mut self, now: Seconds, id: RequestId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else { return false };
         let first = !std::mem::replace(&mut job.tried, true);
@@ -110,7 +113,7 @@
         job.turned.is_none()
     }
 
-    /// Whether the limits let out no further attempt of a job that waits.
+    /// Whether the limits allow no further attempt of a pending job.
     pub(super) fn is_last(&mut self, now: Seconds, id: RequestId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else { return true };
         if job.attempts >= self.settings.max_attempts.min(job.task.limits.attempts) {
--- a/src/state/machine_table.rs
+++ b/src/state/machine_table.rs
@@ -1,60 +1,60 @@
-//! The machines that the list names, with the indexes by which one notice of the list costs what it changes and not
-//! a look at every machine and every job.
+//! The machines that the list names, with indexes by which the cost of an update of the list depends only on
+//! what it changes, and not on the number of machines and jobs.
 //!
-//! - An entry and its address change through [`MachineTable::insert`], [`MachineTable::update`] and
-//!   [`MachineTable::remove`] alone, so that the indexes always tell what the entries do
+//! - An entry and its address change only through [`MachineTable::insert`], [`MachineTable::update`] and
+//!   [`MachineTable::remove`], so that the indexes always agree with the entries
 //!   (`the_indexes_tell_what_a_plain_search_does`).
-//! - A job that stands is booked at its machine, or as one whose machine the list has not named
+//! - A running job is recorded at its machine, or among the jobs whose machine the list has not named
 //!   (`a_task_of_an_unlisted_machine_is_found_once_it_is_listed`).
-//! - Machines looked at for one notice do not grow with the number of machines
+//! - The number of machines examined for one update does not grow with the number of machines
 //!   (`a_notice_looks_at_no_machine_that_it_does_not_concern`).
 
 use super::jobs::Spot;
 use super::*;
 use std::cell::Cell;
 
-/// A machine that the list names, and what is out or stands there.
+/// A machine that the list names, with the jobs that run or have an open attempt there.
 #[derive(Clone, Debug)]
 pub(super) struct Node {
     entry: Entry,
     address: String,
-    /// Jobs that stand there.
+    /// Jobs whose task runs there.
     pub standing: BTreeSet<RequestId>,
-    /// Jobs of which an attempt is out or queued there.
+    /// Jobs with an open attempt there, queued or sent.
     pub trying: BTreeSet<RequestId>,
-    /// Since when it refuses connections while it drains.
+    /// The time since which it refuses connections while draining.
     pub refuses_since: Option<Seconds>,
-    /// Version of its last change.
+    /// Version of the last change.
     pub version: u64,
 }
 
 impl Node {
-    /// What the list says of it.
+    /// The machine's entry in the list.
     pub fn entry(&self) -> Entry {
         self.entry
     }
 
-    /// Where it takes connections.
+    /// The address on which it accepts connections.
     pub fn address(&self) -> &str {
         &self.address
     }
 }
 
 impl Entry {
-    /// Where it lies.
+    /// The machine's location.
     pub(super) fn spot(&self) -> Spot {
         Spot { machine: self.machine, zone: self.zone, cell: self.cell }
     }
 }
 
-/// Beside what a job stands.
+/// The situation at a machine when a running task is added there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stands {
-    /// Nothing stood at its machine.
+    /// It is the first running task at the machine.
     First,
-    /// Others stand at its machine.
+    /// Other tasks already run at the machine.
     BesideOthers,
-    /// The list has not named its machine.
+    /// The list has not named the machine.
     Unlisted,
 }
 
@@ -62,13 +62,14 @@
 #[derive(Default)]
 pub(super) struct MachineTable {
     nodes: BTreeMap<MachineId, Node>,
-    /// The machines at each address, in order; seldom more than one.
+    /// The machines at each address, sorted; seldom more than one.
     by_address: BTreeMap<String, Vec<MachineId>>,
-    /// The machines that take no new work.
+    /// The machines that accept no new work.
     not_ready: BTreeSet<MachineId>,
-    /// Jobs said to stand at machines that the list has not named.
+    /// Jobs reported as running at machines that the list has not named.
     unlisted: BTreeMap<MachineId, BTreeSet<RequestId>>,
-    /// Count. Entries looked at so far by the searches of this table, by which tests tell what a notice costs.
+    /// Count. Entries that this table's searches have examined so far; tests measure the cost of an update by
+    /// it.
     looked_at: Cell<u64>,
 }
 
@@ -89,24 +90,25 @@
         self.nodes.len()
     }
 
-    /// Every machine, in order; each counts as looked at.
+    /// All machines, sorted by id; each counts as examined.
     pub fn iter(&self) -> impl Iterator<Item = (MachineId, &Node)> {
         self.nodes.iter().inspect(|_| self.count_look()).map(|(&id, node)| (id, node))
     }
 
-    /// The first of the other machines at an address.
+    /// The first other machine at an address.
     pub fn other_at(&self, address: &str, than: MachineId) -> Option<&Node> {
         let there = self.by_address.get(address)?;
         let other = there.iter().inspect(|_| self.count_look()).find(|&&id| id != than)?;
         self.nodes.get(other)
     }
 
-    /// The machines that take no new work, in order.
+    /// The machines that accept no new work, sorted by id.
     pub fn not_ready(&self) -> Vec<MachineId> {
         self.not_ready.iter().inspect(|_| self.count_look()).copied().collect()
     }
 
-    /// Takes in a machine that the list names for the first time, with the jobs that are said to stand there.
+    /// Adds a machine that the list names for the first time, with the jobs that were reported as running
+    /// there.
     pub fn insert(&mut self, entry: Entry, address: String) {
         let machine = entry.machine;
         self.remove(machine);
@@ -116,7 +118,7 @@
         self.nodes.insert(machine, Node { entry, address, standing, trying, refuses_since, version });
     }
 
-    /// Books what the list says anew of a machine that it named before.
+    /// Updates a known machine with its new list entry.
     pub fn update(&mut self, entry: Entry, address: &str) {
         let Some(node) = self.nodes.get_mut(&entry.machine) else { return };
         let moved = node.address != address;
@@ -129,14 +131,14 @@
         self.index(&entry, address);
     }
 
-    /// Takes out a machine that is gone.
+    /// Removes a machine that is gone.
     pub fn remove(&mut self, machine: MachineId) -> Option<Node> {
         let node = self.nodes.remove(&machine)?;
         self.unindex(machine, &node.address);
         Some(node)
     }
 
-    /// Books a job that stands at a machine.
+    /// Records that a job's task runs at a machine.
     pub fn stands(&mut self, machine: MachineId, job: RequestId) -> Stands {
         let Some(node) = self.nodes.get_mut(&machine) else {
             self.unlisted.entry(machine).or_default().insert(job);
@@ -150,7 +152,7 @@
         }
     }
 
-    /// A job stands at a machine no more.
+    /// Records that a job's task no longer runs at a machine.
     pub fn stands_no_more(&mut self, machine: MachineId, job: RequestId) {
         if let Some(node) = self.nodes.get_mut(&machine) {
             node.standing.remove(&job);
--- a/src/state/machines.rs
+++ b/src/state/machines.rs
@@ -1,19 +1,19 @@
-//! The machines: what the list says of them, and what follows where one is lost.
+//! The machines: updates of the machine list, and the consequences of a lost machine.
 
 use super::*;
 use crate::decide::silence::LOST_S;
 
-/// Seconds. So long a machine that drains and refuses connections is taken to hold what stands there. An end of
-/// which no word came is to be told within 8 s.
+/// Seconds. Time for which a draining machine that refuses connections is assumed to keep its running tasks.
+/// An end that no message reports must reach the owner within 8 s.
 const DRAIN_KEEPS_S: Seconds = 3.0;
-/// Count. Names kept of machines that are no more, before they are gone through.
+/// Count. Names of former machines that are kept before unused names are removed.
 const OLD_NAMES: usize = 64;
 
-/// The cause by which a machine is told to cut a task that counts as lost.
+/// The cause code sent to a machine with the order to stop a task that counts as lost.
 pub(super) const CUT: u8 = 41;
 
 impl Core {
-    /// Gives a machine a new version, which watchers see.
+    /// Assigns a new version to a machine and adds it to the history for watchers.
     pub(super) fn machine_changed(&mut self, id: MachineId, kind: ChangeKind, effects: &mut Vec<Effect>) {
         let version = self.history.next_version();
         let Some(node) = self.nodes.get_mut(id) else { return };
@@ -43,13 +43,14 @@
         let entries: Vec<Entry> = notices.into_iter().map(|n| n.entry).collect();
         let gone: Vec<MachineId> =
             entries.iter().filter(|e| e.standing == Standing::Gone).map(|e| e.machine).collect();
-        // The module hears of drains before what they set free is placed again.
+        // The placer is informed of drains first, so that the jobs they release are not placed there again.
         self.feed(now, Event::List { kind, entries }, effects);
         for (machine, started) in restarted {
-            // Its process came up anew: what stood there before did not survive it.
+            // The machine's process restarted: tasks that ran there before are lost.
             self.lose(now, machine, started, effects);
             self.prove_all_gone(machine);
-            // What waits in its queue was decided for a warm machine: all planners' queues at once may push a cold one over.
+            // Attempts in the send queue were decided for a warm machine. Sent by all planners at once, they
+            // could overload a cold one.
             self.take_back_queued(now, machine, effects);
         }
         for machine in gone {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What waits in a machine's queue is taken back and decided anew.
+    /// Cancels the attempts that are queued for a machine, so that the placer decides again.
     fn take_back_queued(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
         for job in self.tried(machine, |t| !t.left) {
             effects.push(Effect::GiveUp { machine, job });
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Where a machine is told of at the address of another, the one that started later has it. The other is gone,
-    /// though the list does not say so yet: what is sent to it would reach its successor.
+    /// If two machines have the same address, the one that started later owns it. The other counts as gone,
+    /// although the list does not say so yet: messages for it would reach its successor.
     pub(super) fn replace(&self, notices: &mut Vec<Notice>) {
         let mut replaced = Vec::new();
         for notice in notices.iter_mut().filter(|n| n.entry.standing != Standing::Gone) {
@@ -86,7 +87,7 @@
         notices.splice(0..0, replaced);
     }
 
-    /// Forgets the names of machines that nothing refers to any more.
+    /// Removes the names of machines to which nothing refers any more.
     pub(super) fn forget_names(&mut self) {
         if self.words.machines() > 2 * self.nodes.len() + OLD_NAMES {
             let of_jobs = self.jobs.values().filter_map(|j| j.machine);
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Books what the list says of one machine; tells when it started if it came up anew under its old name.
+    /// Applies the list's entry for one machine. Returns the machine's start time if it restarted under its
+    /// former name.
     pub(super) fn notice(
         &mut self,
         notice: &Notice,
@@ -127,7 +129,7 @@
         restarted.then_some((id, entry.started))
     }
 
-    /// Ends what stood at a machine since before that time.
+    /// Ends the tasks that have been running at a machine since before the given time, as lost.
     pub(super) fn lose(
         &mut self,
         now: Seconds,
@@ -139,15 +141,16 @@
         let old = |id: &RequestId| self.jobs.get(id).is_some_and(|j| j.placed_at < before);
         let lost: Vec<RequestId> = node.standing.iter().copied().filter(old).collect();
         for job in lost {
-            // Should the machine only have been cut off, its copy must not run on behind the owner's back.
+            // If the machine is only unreachable, its copy must not run on without the owner's knowledge.
             effects.push(Effect::Stop { machine, job, cause: CUT });
             self.unproved(job, machine);
             self.standing_over(now, job, Outcome::Lost, Reason::Unknown, None, effects);
         }
     }
 
-    /// A process that is gone refuses connections, and so does one that drains. What stands at the latter goes on
-    /// until the list calls it gone, or until its end, untold, would come to its owner too late.
+    /// Handles a refused connection. Both a dead process and a draining one refuse connections. Tasks on a
+    /// draining machine are kept until the list calls the machine gone, or until an unreported end would
+    /// reach the owner too late.
     pub(super) fn dial_refused(
         &mut self,
         now: Seconds,
@@ -163,8 +166,8 @@
         self.machine_lost(now, machine, true, effects);
     }
 
-    /// A machine counts as lost with what stood there. What left for it is over only where that is proved: it may be out on
-    /// a connection that is up.
+    /// Handles the loss of a machine and its running tasks. Attempts that were sent end only if the loss is
+    /// proved: otherwise they may still be open on a working connection.
     pub(super) fn machine_lost(
         &mut self,
         now: Seconds,
@@ -180,8 +183,8 @@
         }
     }
 
-    /// A machine leaves the list: what stood there counts as lost, what is queued for it never ran, and what left for it is
-    /// given up, and out until its connection has ended.
+    /// Handles a machine's leaving the list: its running tasks count as lost, queued attempts never ran, and
+    /// attempts that were sent are cancelled but stay open until the connection has ended.
     fn depart(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
         self.lose(now, machine, f64::INFINITY, effects);
         self.break_trials(now, machine, false, Reason::Unknown, effects);
@@ -206,7 +209,7 @@
         }
     }
 
-    /// The connection to a machine that left the list has ended, and its attempts with it.
+    /// Handles the end of the connection to a machine that left the list; its attempts end with it.
     pub(super) fn departed(
         &mut self,
         now: Seconds,
@@ -218,14 +221,14 @@
         for job in jobs {
             self.departure_ended(now, job, proved, effects);
         }
-        // Should it be back already, what is booked there is of its new process, too.
+        // If the machine is listed again, copies recorded there may belong to its new process.
         if !self.nodes.contains(machine) {
             self.prove_all_gone(machine);
         }
     }
 }
 
-/// The notice that a machine is gone.
+/// The list update that marks a machine as gone.
 fn gone(node: &Node) -> Notice {
     Notice { entry: Entry { standing: Standing::Gone, ..node.entry() }, address: node.address().to_string() }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,8 +1,9 @@
-//! What the planner keeps in memory. Every change goes through [`Core::apply`], which asks for effects and
-//! carries out none: no I/O, no clock, no word of any wire.
+//! The planner's state in memory. Every change goes through [`Core::apply`], which returns effects and
+//! performs none itself: no I/O, no clock, no wire formats.
 //!
-//! The decisions are the [`Placer`]'s. What is added here are the guards that hold whatever it decides: one
-//! attempt out, no send to a machine that drains, the repeat window, and exactly one final answer.
+//! The [`Placer`] makes the placement decisions. This module adds the guards that hold whatever the placer
+//! decides: one open attempt per job, no send to a draining machine, the repeat window, and exactly one final
+//! answer.
 
 mod alarms;
 mod attempts;
@@ -43,14 +44,14 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::sync::Arc;
 
-/// The jobs of one connection that are not over.
+/// The jobs of one client connection that are not over.
 #[derive(Default)]
 struct LinkJobs {
     jobs: BTreeSet<RequestId>,
     open: usize,
 }
 
-/// The one reducer.
+/// The reducer that holds all state of the planner.
 pub struct Core {
     placer: Placer,
     seed: u64,
@@ -59,15 +60,15 @@
     jobs: BTreeMap<RequestId, Job>,
     nodes: MachineTable,
     keys: BTreeMap<(String, String), RequestId>,
-    /// The jobs that are not over, by the connection that they came on.
+    /// The jobs that are not over, by the client connection on which they came.
     links: BTreeMap<u64, LinkJobs>,
     alarms: BinaryHeap<Reverse<(u64, Alarm)>>,
     over: VecDeque<RequestId>,
     pending: usize,
-    /// What the jobs that wait take.
+    /// Bytes taken by the pending jobs.
     pending_bytes: usize,
     open_rest: usize,
-    /// Asks for proof so far.
+    /// The number of the last connection check; each check has a new number.
     asks: u64,
     keep: Keep,
     history: History,
@@ -75,12 +76,12 @@
     groups: Groups,
     ghosts: Ghosts,
     departures: Departures,
-    /// By when every request is answered, where the planner stops.
+    /// Seconds. Time by which every request is answered; infinite unless the planner is shutting down.
     answers_by: Seconds,
 }
 
 impl Core {
-    /// A core that knows only its settings.
+    /// Creates a core without machines or jobs.
     ///
     /// # Errors
     /// If the settings cannot be served.
@@ -112,7 +113,7 @@
         })
     }
 
-    /// The names of the settings.
+    /// The vocabulary that maps names of machines, zones and classes to ids.
     pub fn words(&mut self) -> &mut Vocabulary {
         &mut self.words
     }
@@ -122,17 +123,17 @@
         self.words.name(machine)
     }
 
-    /// The planner's seed, new with each start.
+    /// The planner's random seed, new with each start.
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// Whether an attempt that left is out at a machine.
+    /// Whether an attempt that was sent to the machine is still open.
     pub fn is_open_at(&self, machine: MachineId) -> bool {
         !self.tried(machine, |t| t.left).is_empty()
     }
 
-    /// A task that stands at a machine.
+    /// The first of the tasks that run at a machine.
     pub fn one_at(&self, machine: MachineId) -> Option<RequestId> {
         self.nodes.get(machine).and_then(|n| n.standing.first().copied())
     }
@@ -142,60 +143,60 @@
         &self.settings
     }
 
-    /// Jobs that wait for their final answer, and groups that do.
+    /// Number of jobs and groups that wait for their final answer.
     pub fn pending(&self) -> usize {
         self.pending + self.groups.unanswered()
     }
 
-    /// Whether no further job is taken.
+    /// Whether the memory for pending jobs is used up, so that new jobs are refused.
     pub fn is_full(&self) -> bool {
         self.pending_bytes >= self.keep.waiting_bytes
     }
 
-    /// What is owed on a connection.
+    /// The numbers of pending jobs and running tasks of a client connection.
     pub fn owed(&self, link: u64) -> Owed {
         self.links
             .get(&link)
             .map_or(Owed::default(), |of| Owed { open: of.open, standing: of.jobs.len() - of.open })
     }
 
-    /// The jobs that came on a connection and wait for their final answer.
+    /// The pending jobs of a client connection.
     fn open_on(&self, link: u64) -> Vec<RequestId> {
         let open = |id: &RequestId| self.jobs.get(id).is_some_and(|j| j.phase == Phase::Pending);
         self.links.get(&link).map_or(vec![], |of| of.jobs.iter().copied().filter(open).collect())
     }
 
-    /// Tasks that stand at a machine.
+    /// Number of tasks that run at a machine.
     pub fn standing_at(&self, machine: MachineId) -> usize {
         self.nodes.get(machine).map_or(0, |n| n.standing.len())
     }
 
-    /// A job that is known still.
+    /// A job, unless it was never submitted or is already forgotten.
     pub fn job(&self, id: RequestId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// The newest job of a class with that key.
+    /// The newest job of a class with that idempotency key.
     pub fn keyed(&self, class: &str, key: &str) -> Option<RequestId> {
         self.keys.get(&(class.to_string(), key.to_string())).copied()
     }
 
-    /// What can be watched.
+    /// The history of changes, from which watchers read.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Machines that all picks so far have looked at.
+    /// Count. Machines that the placer has examined in all its decisions so far.
     pub fn looked_at(&self) -> u64 {
         self.placer.looked_at
     }
 
-    /// Jobs of the REST front that wait or run.
+    /// Number of REST jobs that are pending or running.
     pub fn open_rest_jobs(&self) -> usize {
         self.open_rest
     }
 
-    /// Takes in one thing that happened, and appends what is to be done about it.
+    /// Handles one input and appends the resulting effects.
     pub fn apply(&mut self, now: Seconds, input: Input, effects: &mut Vec<Effect>) {
         let from = effects.len();
         self.take_in(now, input, effects);
@@ -234,8 +235,8 @@
             Input::Ended { machine, job, before, after, why, report } => {
                 self.prove_gone(job, machine);
                 let Some(known) = self.jobs.get(&job) else { return };
-                // What is still in the queue, or stands behind a test that is not answered, cannot have been
-                // answered: that was for an earlier attempt.
+                // An attempt that is still queued, or whose preceding connection check is unanswered, cannot
+                // have been answered: the message belongs to an earlier attempt.
                 if known.trial.is_some_and(|t| t.is_answered_by(machine)) {
                     self.trial_over(now, job, before, why, report, effects);
                 } else if known.phase == Phase::Running && known.machine == Some(machine) {
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Lets the module hear an event and carries out what it decides, until it asks for nothing more.
+    /// Passes an event to the placer and carries out its decisions, until no further event follows from them.
     fn feed(&mut self, now: Seconds, event: Event, effects: &mut Vec<Effect>) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
--- a/src/state/shutdown.rs
+++ b/src/state/shutdown.rs
@@ -1,9 +1,9 @@
-//! The stop of the planner: every request has its answer before the process may be killed.
+//! Shutdown of the planner: every request is answered before the process may be killed.
 
 use super::*;
 
 impl Core {
-    /// The planner stops: all that waits is answered by that time, and what comes later is refused.
+    /// Starts the shutdown: all pending jobs are answered by `until`, and later ones are refused.
     pub(super) fn shut_down(&mut self, now: Seconds, until: Seconds, effects: &mut Vec<Effect>) {
         self.leave_fleet();
         self.stop_groups(now, effects);
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Answers all that waits: as refused what never ran, as failed what may have.
+    /// Answers all pending jobs: as refused those that never ran, as failed those that may have.
     pub(super) fn answer_all(&mut self, now: Seconds, effects: &mut Vec<Effect>) {
         if now < self.answers_by {
             return;
--- a/src/state/views.rs
+++ b/src/state/views.rs
@@ -1,4 +1,4 @@
-//! Jobs and machines as they can be looked at from outside.
+//! Snapshots of jobs and machines for readers such as the REST API.
 
 use super::*;
 
@@ -13,7 +13,7 @@
     pub attempts: usize,
     pub deadline: Seconds,
     pub last: Option<(Outcome, Reason)>,
-    /// The limit by which it was given up.
+    /// The operators' limit that refused a further attempt.
     pub turned: Option<Turned>,
     pub retry_in_s: Seconds,
     pub version: u64,
@@ -31,7 +31,7 @@
     pub version: u64,
 }
 
-/// What a change is about.
+/// The object of a change.
 #[derive(Clone, Debug)]
 pub enum Object {
     Job(Arc<JobView>),
@@ -40,19 +40,19 @@
 }
 
 impl Core {
-    /// One job, as it can be looked at.
+    /// A snapshot of one job.
     pub fn job_view_of(&self, id: RequestId) -> Option<JobView> {
         self.jobs.get(&id).map(|job| self.job_view(id, job))
     }
 
-    /// Every job, as it can be looked at, the one that changed last at the end.
+    /// Snapshots of all jobs, sorted by their last change.
     pub fn job_views(&self) -> Vec<JobView> {
         let mut views: Vec<JobView> = self.jobs.iter().map(|(&id, job)| self.job_view(id, job)).collect();
         views.sort_by_key(|view| view.version);
         views
     }
 
-    /// Every machine, as it can be looked at.
+    /// Snapshots of all machines.
     pub fn machine_views(&self) -> Vec<MachineView> {
         self.nodes.iter().map(|(id, node)| self.machine_view(id, node)).collect()
     }
--- a/src/state/words.rs
+++ b/src/state/words.rs
@@ -1,4 +1,4 @@
-//! The words between the core and the world: what happens, what is to be done, and how jobs stand.
+//! The interface of the core: its inputs, its effects, and the states and final answers of jobs.
 
 use super::DepartureId;
 use crate::decide::budgets::{Plan, Word};
@@ -11,122 +11,125 @@
 };
 use std::sync::Arc;
 
-/// Who waits for word of a job.
+/// The client that receives the answers of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Owner {
-    /// A connection of the platform's front.
+    /// A connection of the platform protocol.
     Link(u64),
-    /// The REST front, whose clients look at the job itself.
+    /// The REST API. Its clients read the job's state; no answer is pushed to them.
     Rest,
-    /// A group, of which it is a member.
+    /// A group of which the job is a member.
     Group {
-        /// The group.
+        /// The group's id.
         group: GroupId,
-        /// The member's number.
+        /// The member's index in the group.
         member: usize,
     },
 }
 
-/// A group, by the id that its front gave it; never used twice.
+/// The id of a group, assigned by the API through which it was submitted; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupId(pub u64);
 
-/// A group as a front hands it in.
+/// A request to place a group.
 #[derive(Clone, Debug)]
 pub struct GroupAsk {
-    /// The front's id.
+    /// The id assigned by the API through which the group came.
     pub group: GroupId,
-    /// What travels on with each member, and what the module needs to know of it.
+    /// Of each member: the data forwarded to its machine, and the input of the placement decision.
     pub members: Vec<(Arc<Spec>, Task)>,
-    /// When its owner gives up on it.
+    /// The time at which the owner stops waiting.
     pub deadline: Seconds,
-    /// How it is to be handled.
+    /// How partial placement, retries and lost members are handled.
     pub policy: Policy,
-    /// The most of the fleet that it may ask for, as a share.
+    /// The largest share of the fleet's capacity that the group may request.
     pub share: f64,
-    /// The key that all asks for it share.
+    /// The idempotency key, shared by all retries of the request.
     pub key: Option<String>,
-    /// Tells a retry from another group under the same key.
+    /// Digest of the request; distinguishes a retry from a different group with the same key.
     pub digest: u64,
 }
 
-/// What is owed on a connection of the platform's front.
+/// The jobs of a platform connection that are not over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Owed {
     /// Jobs that wait for their final answer.
     pub open: usize,
-    /// Tasks that stand.
+    /// Running tasks.
     pub standing: usize,
 }
 
-/// What travels with a job unchanged.
+/// The part of a job that is forwarded to its machine unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Spec {
-    /// Name of the class.
+    /// Name of the job's class.
     pub class: String,
     /// Name of the task.
     pub name: String,
-    /// The service, in its owner's words.
+    /// The service's name, as the owner gave it.
     pub service: String,
-    /// The key that all tries of a keyed task share.
+    /// The idempotency key, shared by all attempts and retries of a keyed task.
     pub key: Option<String>,
-    /// The description.
+    /// The task description.
     pub body: String,
-    /// Tells a retry from another job under the same key; nought where the front does not join retries.
+    /// Digest of the request; distinguishes a retry from a different job with the same key. 0 for APIs that
+    /// do not join retries.
     pub digest: u64,
 }
 
-/// A job as a front hands it in.
+/// A request to place a job.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// The front's id; never used twice.
+    /// The id assigned by the API through which the job came; never reused.
     pub job: RequestId,
-    /// Who waits.
+    /// The client that receives the answers.
     pub owner: Owner,
-    /// What travels on.
+    /// The data forwarded to the machine.
     pub spec: Arc<Spec>,
-    /// What the module needs to know.
+    /// The input of the placement decision.
     pub task: Task,
 }
 
-/// A machine as the list tells of it.
+/// The state of one machine as the machine list gives it.
 #[derive(Clone, Debug)]
 pub struct Notice {
-    /// The entry for the module.
+    /// The entry that is passed to the placer.
     pub entry: Entry,
-    /// Where it listens.
+    /// The address on which the machine listens.
     pub address: String,
 }
 
-/// Something that happened.
+/// An event to which the core reacts.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Word on the list of machines.
+    /// An update of the machine list: a complete list or changes.
     List { kind: ListKind, notices: Vec<Notice> },
-    /// A job to be placed.
+    /// A new job.
     Submit(Ask),
-    /// A task that runs already.
+    /// A task that is already running at a machine, reported by its owner.
     Adopt { ask: Ask, machine: MachineId },
-    /// A group to be placed whole or not at all.
+    /// A new group, of which either all members or none are placed.
     SubmitGroup(GroupAsk),
-    /// The owner of a group gives it up, or ends it.
+    /// The owner of a group cancels its placement, or stops it.
     CancelGroup { group: GroupId },
-    /// The planner stops: groups that do not stand whole are given up, and every request has its answer by that time; what
-    /// comes later is refused. May come again with an earlier time.
+    /// The planner shuts down. Groups that are not completely placed are cancelled, every pending request is
+    /// answered by `until`, and later requests are refused. May be repeated with an earlier time.
     Draining { until: Seconds },
-    /// A connection to the machine is up.
+    /// A connection to the machine is established.
     LinkUp { machine: MachineId },
-    /// An owner gives the job up, or ends the task that stands; `cause` goes on to its machine.
+    /// An owner cancels a pending job or stops a running task; `cause` is forwarded to the machine.
     Cancel { job: RequestId, cause: u8 },
-    /// A connection of owners is gone: what is open on it is given up, what stands stays.
+    /// A client connection closed: its pending jobs are cancelled, its running tasks continue.
     OwnerGone { link: u64 },
-    /// Nothing that comes on a connection of owners can be heard any more: what is open on it is failed, what stands stays.
+    /// A client connection can no longer be read, for instance after a malformed message: its pending jobs
+    /// fail, its running tasks continue.
     OwnerFaulty { link: u64 },
-    /// The first byte of an attempt left the process.
+    /// The first byte of an attempt's message was written to the machine's connection.
     Sent { job: RequestId, attempt: AttemptNo },
-    /// A machine says that the task stands.
+    /// A machine reports that the task is running.
     Bound { machine: MachineId, job: RequestId, body: String },
-    /// A machine says that an attempt or a standing task is over.
+    /// A machine reports the end of an attempt or of a running task. `before` is the outcome if the task was
+    /// not running yet, `after` the outcome if it was.
     Ended {
         machine: MachineId,
         job: RequestId,
@@ -135,42 +138,45 @@
         why: Reason,
         report: Option<Report>,
     },
-    /// The machine answered on the connection on which it was asked: all that was written there before came to it.
+    /// The machine answered the connection check numbered `ask`, on the same connection. It has received all
+    /// that was written there before the check.
     Heard { machine: MachineId, ask: u64 },
-    /// A machine sends a note on a task.
+    /// A machine sends an informational note about a task.
     Noted { machine: MachineId, job: RequestId, note: Note },
-    /// A probe was answered or failed.
+    /// A probe of a machine was answered, or failed.
     Probed { machine: MachineId, outcome: Outcome, report: Option<Report> },
-    /// No connection to the machine came up: what waits to be sent never ran.
+    /// A connection attempt to the machine failed: attempts that are still queued for it never ran.
     DialFailed { machine: MachineId },
-    /// The machine refuses connections: its process is gone, or it drains and takes no new ones.
-    /// It told of no task, and took no connection, for so long.
+    /// The machine refuses connections: either its process is gone, or it is draining and accepts no new
+    /// ones. For `quiet_s` it has sent no message about a task and accepted no connection.
     DialRefused { machine: MachineId, quiet_s: Seconds },
-    /// A connection to the machine ended: what was sent on it may have run. It runs no more where `proved`: the machine
-    /// ended the connection, too, and gave up what was open on it.
+    /// A connection to the machine ended: attempts sent on it may have run. With `proved` the machine is
+    /// known to have seen the connection end, and so to have abandoned the attempts that were open on it.
     LinkBroken { machine: MachineId, proved: bool },
-    /// The connection to a machine that left the list has ended; `proved` as above.
+    /// The connection to a machine that left the list ended; `proved` as for [`Input::LinkBroken`].
     Departed { departure: DepartureId, proved: bool },
-    /// The machine or its process is gone with all it held; it may only be out of reach where nothing proves it.
+    /// The machine is considered lost. With `proved` its process is known to be gone, with all its tasks;
+    /// otherwise the machine may only be unreachable.
     MachineLost { machine: MachineId, proved: bool },
-    /// The operators' limits, checked and compiled, are to be in force for the jobs that come from now on.
+    /// New operator limits, validated and compiled. They apply to jobs that are submitted from now on.
     Limits { table: Arc<Table>, digest: String },
-    /// What holds for groups that come from now on; nothing where groups are off.
+    /// The settings for groups that are submitted from now on; `None` if groups are disabled.
     GroupSettings(Option<Arc<GroupSettings>>),
-    /// A new operators' file was refused; what is in force stays.
+    /// A new operators' file was rejected; the current limits stay in force.
     LimitsRefused { why: Vec<String> },
-    /// The planner takes part in a fleet; once, before anything else.
+    /// The planner joins a fleet; sent once, before any other input.
     Join { plan: Plan, life: Life },
-    /// Words of another planner, in one of its lives.
+    /// Messages of another planner; `Life` identifies the incarnation (process start) that sent them.
     Peer { from: (Member, Life), words: Vec<Word> },
-    /// Time has passed.
+    /// Time has advanced; due alarms are handled.
     Tick,
 }
 
-/// What is to be done outside.
+/// An action that the core requests from its environment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Offer the job to the machine; where a fence is there, this test goes right before it.
+    /// Send an attempt of the job to the machine. If `fence` is set, the connection check with that number is
+    /// written directly before it.
     Launch {
         machine: MachineId,
         job: RequestId,
@@ -179,22 +185,25 @@
         fence: Option<u64>,
         spec: Arc<Spec>,
     },
-    /// Take an attempt back: out of the queue if it is there still, else by message.
+    /// Cancel an attempt: remove it from the send queue if it is still there, else by a message to the
+    /// machine.
     GiveUp { machine: MachineId, job: RequestId },
-    /// End a task that stands.
+    /// Stop a running task.
     Stop { machine: MachineId, job: RequestId, cause: u8 },
-    /// Ask the machine, after all that was written to it before, to say that it hears.
+    /// Send the connection check numbered `ask` to the machine. Its answer shows that the machine received
+    /// all that was written before.
     Ask { machine: MachineId, ask: u64 },
-    /// Ask the machine for its report.
+    /// Send a probe, to which the machine answers with its report.
     Probe { machine: MachineId },
-    /// Hold a connection to the machine, which listens there.
+    /// Keep a connection open to the machine at that address.
     Connect { machine: MachineId, address: String },
-    /// Tasks stand at a machine where none stood: its silence is watched from now on.
+    /// The first task is running at the machine: monitor from now on whether the machine is silent.
     Watch { machine: MachineId },
-    /// The machine left the list: what waits for it is written, then its connection is ended, and [`Input::Departed`] tells
-    /// of that.
+    /// The machine left the list: write what is queued for it, then close its connection, and report that by
+    /// [`Input::Departed`].
     Disconnect { machine: MachineId, departure: DepartureId },
-    /// For logs and counts alone: an attempt is over for this planner, and why; unheard where a copy of it may be out.
+    /// For logs and metrics only: an attempt is over for this planner. `unheard`: the machine did not confirm
+    /// the cancellation, so a copy may still run.
     AttemptOver {
         job: RequestId,
         machine: MachineId,
@@ -203,80 +212,80 @@
         why: Reason,
         unheard: bool,
     },
-    /// For logs and counts alone: so many requests are answered now because the planner stops.
+    /// For logs and metrics only: number of requests that are answered now because the planner shuts down.
     CutShort { requests: u64 },
-    /// Final answer: the task stands.
+    /// Final answer: the task is running.
     Placed { owner: Owner, job: RequestId, body: String },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused. The task did not run, so that a retry is safe.
     Refused { owner: Owner, job: RequestId, why: Refusal, retry_in_s: Seconds },
-    /// Final answer: failed.
+    /// Final answer: failed. The task may have run.
     Failed { owner: Owner, job: RequestId },
-    /// A task that stood is over.
+    /// A running task is over.
     Released { owner: Owner, job: RequestId, outcome: Outcome },
-    /// An owner does what no owner does: its connection is closed once nothing is open on it.
+    /// A client violated the protocol: close its connection once it has no pending jobs.
     Expel { link: u64 },
-    /// Words to another planner; they may be lost.
+    /// Send messages to another planner, without guaranteed delivery.
     Say { to: Member, words: Vec<Word> },
-    /// Follow the list of machines.
+    /// Subscribe to the machine list.
     Subscribe,
-    /// Jobs or machines changed: watchers have something to read.
+    /// The history has a new change: wake the watchers.
     Changed,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
 /// Why a job was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No machine took it.
+    /// No machine accepted the job.
     NoRoom,
-    /// Its time was up before a machine took it.
+    /// The deadline passed before a machine accepted the job.
     Deadline,
-    /// The planner holds all the jobs that it can.
+    /// The planner has reached its limit of pending jobs, or is shutting down.
     Busy,
-    /// A limit of the operators' file.
+    /// A limit of the operators' file rejected the job.
     Limit(Why),
 }
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Waits to be placed.
+    /// Waits for its final answer.
     Pending,
-    /// Stands at a machine.
+    /// Running at a machine.
     Running,
-    /// Ran to its end.
+    /// Ran to completion.
     Succeeded,
-    /// Turned away; asking again is harmless.
+    /// Refused without having run; a retry is safe.
     Refused,
     /// Failed; it may have run.
     Failed,
     /// Not placed before its deadline.
     DeadlinePassed,
-    /// Ended by its owner.
+    /// Cancelled or stopped by its owner.
     Cancelled,
-    /// Stood, and was lost with its machine, evicted or sent away.
+    /// Was running, and was lost with its machine, evicted or sent away.
     Lost,
 }
 
 impl Phase {
-    /// Whether nothing more will come.
+    /// Whether this is a final state.
     pub fn is_over(self) -> bool {
         !matches!(self, Phase::Pending | Phase::Running)
     }
 }
 
-/// How much the core keeps.
+/// Bounds on the state that the core keeps.
 #[derive(Clone, Copy, Debug)]
 pub struct Keep {
-    /// Bytes that all jobs which wait may take.
+    /// Bytes that all pending jobs together may take.
     pub waiting_bytes: usize,
-    /// Tasks that may stand.
+    /// Count. Maximum number of running tasks.
     pub standing: usize,
-    /// Changes kept; none where nobody can watch.
+    /// Count. Changes kept in the history; 0 if watching is not possible.
     pub history: usize,
-    /// Jobs that are over and can still be looked at.
+    /// Count. Finished jobs that are kept for reading.
     pub over: usize,
-    /// Seconds for which they can.
+    /// Seconds for which a finished job is kept.
     pub over_s: Seconds,
 }
