--- a/src/state/alarms.rs
+++ b/src/state/alarms.rs
@@ -5,13 +5,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Alarm {
     Placer,
-    GiveUp(RequestId, AttemptNo),
-    Unproved(RequestId, AttemptNo),
-    Unsent(RequestId, AttemptNo),
-    Answer(RequestId),
+    AttemptTimeout(RequestId, AttemptNo),
+    CancelUnconfirmed(RequestId, AttemptNo),
+    QueueTimeout(RequestId, AttemptNo),
+    ForceAnswer(RequestId),
     ShutDown,
-    Unlisted(RequestId),
-    Forget(RequestId),
+    UnlistedTimeout(RequestId),
+    ForgetJob(RequestId),
     Group(GroupId),
     ForgetGroup(GroupId),
     Fleet,
@@ -38,37 +38,40 @@
             let Some(Reverse((_, alarm))) = self.alarms.pop() else { break };
             match alarm {
                 Alarm::Placer => placer = true,
-                Alarm::GiveUp(job, attempt) => self.time_out(now, job, attempt, effects),
-                Alarm::Unproved(job, attempt) => self.unheard(now, job, attempt, effects),
-                Alarm::Unsent(job, attempt) => {
-                    if let Some(machine) = self.unsent(job, attempt) {
+                Alarm::AttemptTimeout(job, attempt) => self.attempt_timed_out(now, job, attempt, effects),
+                Alarm::CancelUnconfirmed(job, attempt) => self.cancel_unconfirmed(now, job, attempt, effects),
+                Alarm::QueueTimeout(job, attempt) => {
+                    if let Some(machine) = self.queued_at(job, attempt) {
                         effects.push(Effect::GiveUp { machine, job });
-                        self.trial_over(now, job, Outcome::Moot, Reason::Unknown, None, effects);
+                        self.end_attempt(now, job, Outcome::Moot, Reason::Unknown, None, effects);
                     }
                 }
-                Alarm::Answer(job) => {
+                Alarm::ForceAnswer(job) => {
                     // Guards rule 1 if the placer let a job pass its deadline without an answer.
                     if self.jobs.get(&job).is_some_and(|j| j.phase == Phase::Pending) {
-                        effects.push(Effect::Log(format!("job {:016x} was answered by its guard", job.0)));
-                        self.take_back(now, job, Final::Failed, effects);
+                        effects.push(Effect::Log(format!(
+                            "job {:016x} had no answer from the placer by its deadline; failing it",
+                            job.0
+                        )));
+                        self.withdraw(now, job, FinalAnswer::Failed, effects);
                     }
                 }
                 Alarm::ShutDown => self.answer_all(now, effects),
-                Alarm::Unlisted(job) => {
+                Alarm::UnlistedTimeout(job) => {
                     let machine =
                         self.jobs.get(&job).filter(|j| j.phase == Phase::Running).and_then(|j| j.machine);
                     if machine.is_some_and(|machine| !self.nodes.contains(machine)) {
-                        self.standing_over(now, job, Outcome::Lost, Reason::Unknown, None, effects);
+                        self.end_running_task(now, job, Outcome::Lost, Reason::Unknown, None, effects);
                     }
                 }
-                Alarm::Forget(job) => self.forget(job, effects),
-                Alarm::Group(group) => self.group_hears(now, group, groups::Event::Tick, effects),
+                Alarm::ForgetJob(job) => self.forget(job, effects),
+                Alarm::Group(group) => self.on_group_event(now, group, groups::Event::Tick, effects),
                 Alarm::ForgetGroup(group) => self.forget_group(group, effects),
                 Alarm::Fleet => self.fleet_tick(now, effects),
             }
         }
         if placer {
-            self.feed(now, Event::Timer, effects);
+            self.feed_placer(now, Event::Timer, effects);
         }
     }
 }
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -26,9 +26,9 @@
         let books = self.limits.limits.books()?;
         let now = micros(now);
         let (fleet, budgets) = (books.fleet(), books.states(now));
-        let left = |until: Micros| until.saturating_sub(now) as f64 / 1e6;
+        let remaining_s = |until: Micros| until.saturating_sub(now) as f64 / 1e6;
         let slots = fleet.ground().slots.iter().filter(|(_, until)| now < *until);
-        let slots = slots.map(|(slot, until)| (*slot, left(*until))).collect();
+        let slots = slots.map(|(slot, until)| (*slot, remaining_s(*until))).collect();
         Some(FleetView { place: fleet.place(), here: fleet.here(now), slots, budgets })
     }
 
@@ -37,17 +37,17 @@
         self.alarm(now, Alarm::Fleet);
     }
 
-    pub(super) fn hear_peer(
+    pub(super) fn handle_peer_messages(
         &mut self,
         now: Seconds,
         from: (Member, Life),
-        words: Vec<Word>,
+        messages: Vec<Word>,
         effects: &mut Vec<Effect>,
     ) {
         let Some(books) = self.limits.limits.books() else { return };
         let mut out = Vec::new();
-        words.into_iter().for_each(|word| books.hear(micros(now), from, word, &mut out));
-        say(out, effects);
+        messages.into_iter().for_each(|word| books.hear(micros(now), from, word, &mut out));
+        send_messages(out, effects);
     }
 
     /// Carries out what is due in the fleet, and schedules the next call.
@@ -57,7 +57,7 @@
         books.tick(micros(now), &mut out);
         effects.extend(books.lines().into_iter().map(Effect::Log));
         let every = books.fleet().terms().ask_every as f64 / 1e6;
-        say(out, effects);
+        send_messages(out, effects);
         self.alarm(now + every, Alarm::Fleet);
     }
 
@@ -70,7 +70,7 @@
 }
 
 /// Sends the messages, collected into one effect per planner.
-fn say(out: Vec<(Member, Word)>, effects: &mut Vec<Effect>) {
+fn send_messages(out: Vec<(Member, Word)>, effects: &mut Vec<Effect>) {
     let mut by_member: BTreeMap<Member, Vec<Word>> = BTreeMap::new();
     out.into_iter().for_each(|(to, word)| by_member.entry(to).or_default().push(word));
     effects.extend(by_member.into_iter().map(|(to, words)| Effect::Say { to, words }));
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -2,7 +2,7 @@
 //! decisions; this module submits the members as jobs and turns the outcomes of these jobs into the group's
 //! events.
 
-use super::machines::CUT;
+use super::machines::CAUSE_CUT;
 use super::*;
 use crate::decide::groups::fit::{self, Lacks, Need};
 use crate::decide::groups::settings::GroupSettings;
@@ -14,12 +14,12 @@
 
 /// Count. Members' copies for which stop orders are repeated when their machines reconnect; the oldest are
 /// dropped first.
-const MOST_CUTS: usize = 16_384;
+const MAX_PENDING_CUTS: usize = 16_384;
 /// Seconds. Retry delay reported for a group that requests more than it can ever get.
 const NEVER_RETRY_S: Seconds = 30.0;
 
 /// A member's copy that was ordered to stop, with the machines that have not confirmed its end.
-struct Cut {
+struct PendingCut {
     of: (GroupId, usize),
     machines: BTreeSet<MachineId>,
 }
@@ -31,7 +31,7 @@
 }
 
 /// A group and its members.
-struct Book {
+struct GroupRecord {
     group: Group,
     members: Vec<Member>,
     key: Option<String>,
@@ -39,7 +39,7 @@
     deadline: Seconds,
     share: f64,
     /// Count. Jobs created for the group so far; part of the hash that gives each job its id.
-    made: u32,
+    jobs_created: u32,
     answer: Option<Answer>,
     version: u64,
 }
@@ -47,14 +47,14 @@
 /// All groups.
 #[derive(Default)]
 pub(super) struct Groups {
-    books: BTreeMap<GroupId, Book>,
+    records: BTreeMap<GroupId, GroupRecord>,
     keys: BTreeMap<String, GroupId>,
     over: VecDeque<GroupId>,
-    cuts: BTreeMap<RequestId, Cut>,
+    pending_cuts: BTreeMap<RequestId, PendingCut>,
     /// The jobs with pending stop orders, oldest first.
     cut_order: VecDeque<RequestId>,
     /// Members whose copies were just proved gone and whose groups are not informed yet.
-    proved: Vec<(GroupId, usize)>,
+    proved_gone: Vec<(GroupId, usize)>,
     pub starts: Starts,
     pub ends: Ends,
     /// The settings for groups that are submitted from now on; `None` if groups are disabled.
@@ -100,20 +100,20 @@
 impl Groups {
     /// Number of groups that wait for their final answer.
     pub fn unanswered(&self) -> usize {
-        self.books.values().filter(|b| b.answer.is_none()).count()
+        self.records.values().filter(|b| b.answer.is_none()).count()
     }
 
-    fn settle(&mut self, job: RequestId) {
-        if self.cuts.get(&job).is_some_and(|cut| cut.machines.is_empty()) {
-            let of = self.cuts.remove(&job).map(|cut| cut.of);
+    fn settle_cut(&mut self, job: RequestId) {
+        if self.pending_cuts.get(&job).is_some_and(|cut| cut.machines.is_empty()) {
+            let of = self.pending_cuts.remove(&job).map(|cut| cut.of);
             self.cut_order.retain(|other| *other != job);
-            self.proved.extend(of);
+            self.proved_gone.extend(of);
         }
     }
 }
 
 /// Translates an answer to a member's job into the group's event.
-fn of_group(effect: &Effect) -> Option<(GroupId, Event)> {
+fn group_event(effect: &Effect) -> Option<(GroupId, Event)> {
     let (owner, event): (&Owner, fn(usize, &Effect) -> Event) = match effect {
         Effect::Placed { owner, .. } => (owner, |member, _| Event::Stands { member }),
         Effect::Refused { owner, .. } => (owner, |member, effect| {
@@ -136,18 +136,18 @@
 impl Core {
     /// A group, unless it was never submitted or is already forgotten.
     pub fn group_view_of(&self, id: GroupId) -> Option<GroupView> {
-        self.groups.books.get(&id).map(|book| self.group_view(id, book))
+        self.groups.records.get(&id).map(|record| self.group_view(id, record))
     }
 
     /// The final answer of a group, if it was given and the group is not forgotten.
     pub fn group_answer(&self, id: GroupId) -> Option<Answer> {
-        self.groups.books.get(&id)?.answer
+        self.groups.records.get(&id)?.answer
     }
 
     /// All groups, sorted by their last change.
     pub fn group_views(&self) -> Vec<GroupView> {
         let mut views: Vec<GroupView> =
-            self.groups.books.iter().map(|(&id, book)| self.group_view(id, book)).collect();
+            self.groups.records.iter().map(|(&id, record)| self.group_view(id, record)).collect();
         views.sort_by_key(|view| view.version);
         views
     }
@@ -155,7 +155,7 @@
     /// The group with that idempotency key, and the digest of its request.
     pub fn group_keyed(&self, key: &str) -> Option<(GroupId, u64)> {
         let id = *self.groups.keys.get(key)?;
-        Some((id, self.groups.books.get(&id)?.digest))
+        Some((id, self.groups.records.get(&id)?.digest))
     }
 
     /// The settings for groups that are submitted from now on; `None` if groups are disabled.
@@ -165,41 +165,41 @@
 
     /// Number of groups that are not over.
     pub fn open_groups(&self) -> usize {
-        self.groups.books.len() - self.groups.over.len()
+        self.groups.records.len() - self.groups.over.len()
     }
 
-    fn group_view(&self, id: GroupId, book: &Book) -> GroupView {
+    fn group_view(&self, id: GroupId, record: &GroupRecord) -> GroupView {
         let member = |member: &Member| {
             let job = member.job.and_then(|job| self.jobs.get(&job));
-            let cut = member.job.and_then(|job| self.groups.cuts.get(&job));
+            let cut = member.job.and_then(|job| self.groups.pending_cuts.get(&job));
             MemberView {
                 job: member.job,
                 phase: job.map(|j| j.phase),
-                machine: job.and_then(|j| j.machine).map(|m| self.words.name(m)),
+                machine: job.and_then(|j| j.machine).map(|m| self.vocabulary.name(m)),
                 unreachable: cut
-                    .map(|c| c.machines.iter().map(|&m| self.words.name(m)).collect())
+                    .map(|c| c.machines.iter().map(|&m| self.vocabulary.name(m)).collect())
                     .unwrap_or_default(),
             }
         };
         GroupView {
             id,
-            phase: book.group.phase(),
-            answer: book.answer,
-            why: book.group.why(),
-            tries: book.group.tries(),
-            deadline: book.deadline,
-            key: book.key.clone(),
-            members: book.members.iter().map(member).collect(),
-            version: book.version,
+            phase: record.group.phase(),
+            answer: record.answer,
+            why: record.group.why(),
+            tries: record.group.tries(),
+            deadline: record.deadline,
+            key: record.key.clone(),
+            members: record.members.iter().map(member).collect(),
+            version: record.version,
         }
     }
 
     fn group_changed(&mut self, id: GroupId, kind: ChangeKind, effects: &mut Vec<Effect>) {
         let version = self.history.next_version();
-        let Some(book) = self.groups.books.get_mut(&id) else { return };
-        book.version = version;
-        if let Some(book) = self.groups.books.get(&id).filter(|_| self.keep.history > 0) {
-            let object = Object::Group(Arc::new(self.group_view(id, book)));
+        let Some(record) = self.groups.records.get_mut(&id) else { return };
+        record.version = version;
+        if let Some(record) = self.groups.records.get(&id).filter(|_| self.keep.history > 0) {
+            let object = Object::Group(Arc::new(self.group_view(id, record)));
             self.history.push(kind, object);
             effects.push(Effect::Changed);
         }
@@ -207,7 +207,7 @@
 
     pub(super) fn submit_group(&mut self, now: Seconds, ask: GroupAsk, effects: &mut Vec<Effect>) {
         let id = ask.group;
-        if self.groups.books.contains_key(&id) {
+        if self.groups.records.contains_key(&id) {
             return;
         }
         let starts = ask.members.iter().map(|(_, task)| self.groups.starts.expected(task.service)).collect();
@@ -218,94 +218,106 @@
         if let Some(key) = &ask.key {
             self.groups.keys.insert(key.clone(), id);
         }
-        let book = Book {
+        let record = GroupRecord {
             group,
             members: ask.members.into_iter().map(member).collect(),
             key: ask.key,
             digest: ask.digest,
             deadline: ask.deadline,
             share: ask.share,
-            made: 0,
+            jobs_created: 0,
             answer: None,
             version: 0,
         };
-        self.groups.books.insert(id, book);
+        self.groups.records.insert(id, record);
         self.group_changed(id, ChangeKind::Added, effects);
-        self.group_acts(now, id, actions, effects);
+        self.run_group_actions(now, id, actions, effects);
     }
 
     /// Cancels the groups that are not completely placed, because the planner shuts down.
     pub(super) fn stop_groups(&mut self, now: Seconds, effects: &mut Vec<Effect>) {
-        let ids: Vec<GroupId> = self.groups.books.keys().copied().collect();
+        let ids: Vec<GroupId> = self.groups.records.keys().copied().collect();
         for id in ids {
-            self.group_hears(now, id, Event::Stop, effects);
+            self.on_group_event(now, id, Event::Stop, effects);
         }
     }
 
     /// Passes an event to a group and carries out the resulting actions.
-    pub(super) fn group_hears(&mut self, now: Seconds, id: GroupId, event: Event, effects: &mut Vec<Effect>) {
-        let Some(book) = self.groups.books.get_mut(&id) else { return };
-        let before = (book.group.phase(), book.group.standing().count());
+    pub(super) fn on_group_event(
+        &mut self,
+        now: Seconds,
+        id: GroupId,
+        event: Event,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(record) = self.groups.records.get_mut(&id) else { return };
+        let before = (record.group.phase(), record.group.standing().count());
         let mut actions = Vec::new();
-        book.group.handle(now, event, &mut actions);
-        let after = (book.group.phase(), book.group.standing().count());
+        record.group.handle(now, event, &mut actions);
+        let after = (record.group.phase(), record.group.standing().count());
         if before != after {
             self.group_changed(id, ChangeKind::Modified, effects);
         }
-        self.group_acts(now, id, actions, effects);
+        self.run_group_actions(now, id, actions, effects);
     }
 
     /// Turns answers to members into events of their groups, until no further event follows.
     pub(super) fn settle_groups(&mut self, now: Seconds, from: usize, effects: &mut Vec<Effect>) {
-        if self.groups.books.is_empty() {
-            self.groups.proved.clear();
+        if self.groups.records.is_empty() {
+            self.groups.proved_gone.clear();
             return;
         }
         let mut at = from;
         loop {
             while at < effects.len() {
-                let Some((group, event)) = of_group(&effects[at]) else {
+                let Some((group, event)) = group_event(&effects[at]) else {
                     at += 1;
                     continue;
                 };
                 effects.remove(at);
-                self.group_hears(now, group, event, effects);
+                self.on_group_event(now, group, event, effects);
             }
-            let Some((group, member)) = self.groups.proved.pop() else { return };
-            if !self.is_unproved(group, member) {
-                self.group_hears(now, group, Event::Clear { member }, effects);
+            let Some((group, member)) = self.groups.proved_gone.pop() else { return };
+            if !self.may_have_copies(group, member) {
+                self.on_group_event(now, group, Event::Clear { member }, effects);
             }
         }
     }
 
-    fn is_unproved(&self, group: GroupId, member: usize) -> bool {
-        let job = self.groups.books.get(&group).and_then(|b| b.members.get(member)?.job);
+    fn may_have_copies(&self, group: GroupId, member: usize) -> bool {
+        let job = self.groups.records.get(&group).and_then(|b| b.members.get(member)?.job);
         // A job that is not over may still have copies.
         let open = job.and_then(|job| self.jobs.get(&job)).is_some_and(|j| !j.phase.is_over());
-        open || job.is_some_and(|job| self.groups.cuts.contains_key(&job))
+        open || job.is_some_and(|job| self.groups.pending_cuts.contains_key(&job))
     }
 
-    fn group_acts(&mut self, now: Seconds, id: GroupId, actions: Vec<Action>, effects: &mut Vec<Effect>) {
+    fn run_group_actions(
+        &mut self,
+        now: Seconds,
+        id: GroupId,
+        actions: Vec<Action>,
+        effects: &mut Vec<Effect>,
+    ) {
         for action in actions {
             match action {
                 Action::Admit => self.admit_group(now, id, effects),
                 Action::Place(member) => self.place_member(now, id, member, effects),
                 Action::Cut(member) => {
-                    let job = self.groups.books.get(&id).and_then(|b| b.members.get(member)?.job);
+                    let job = self.groups.records.get(&id).and_then(|b| b.members.get(member)?.job);
                     if let Some(job) = job {
-                        self.cancel(now, job, CUT, effects);
+                        self.cancel(now, job, CAUSE_CUT, effects);
                     }
-                    self.groups.proved.push((id, member));
+                    self.groups.proved_gone.push((id, member));
                 }
                 Action::Answer(answer) => {
-                    if let Some(book) = self.groups.books.get_mut(&id) {
-                        debug_assert!(book.answer.is_none(), "one final answer");
-                        book.answer = Some(answer);
+                    if let Some(record) = self.groups.records.get_mut(&id) {
+                        debug_assert!(record.answer.is_none(), "one final answer");
+                        record.answer = Some(answer);
                     }
                     self.group_changed(id, ChangeKind::Modified, effects);
                 }
                 Action::WakeAt(at) => self.alarm(at, Alarm::Group(id)),
-                Action::Over => self.group_over(now, id, effects),
+                Action::Over => self.finish_group(now, id, effects),
             }
         }
     }
@@ -316,21 +328,21 @@
             room: m.task.room,
             kind: settings.classes[m.task.class].kind,
         };
-        let Some(book) = self.groups.books.get(&id) else { return };
-        let needs: Vec<Need> = book.members.iter().map(|m| need(&self.settings, m)).collect();
+        let Some(record) = self.groups.records.get(&id) else { return };
+        let needs: Vec<Need> = record.members.iter().map(|m| need(&self.settings, m)).collect();
         // Reserved but without an open attempt: the placer already counts the room of an attempt.
-        let unbound = |m: &Member| {
+        let without_attempt = |m: &Member| {
             let job = m.job.and_then(|job| self.jobs.get(&job));
-            job.is_some_and(|j| j.phase == Phase::Pending && j.trial.is_none())
+            job.is_some_and(|j| j.phase == Phase::Pending && j.open_attempt.is_none())
         };
-        let promised = |(other, b): (&GroupId, &Book)| -> Vec<Need> {
-            let asked = b.group.asked().filter(|&member| unbound(&b.members[member]));
+        let reserved = |(other, b): (&GroupId, &GroupRecord)| -> Vec<Need> {
+            let asked = b.group.asked().filter(|&member| without_attempt(&b.members[member]));
             let open = b.group.waiting().chain(asked).filter(|_| *other != id);
             open.map(|member| need(&self.settings, &b.members[member])).collect()
         };
-        let kept: Vec<Need> = self.groups.books.iter().flat_map(promised).collect();
+        let reserved_needs: Vec<Need> = self.groups.records.iter().flat_map(reserved).collect();
         let spaces = self.placer.spaces(now);
-        let event = match fit::admit(&needs, &spaces, &kept, book.share) {
+        let event = match fit::admit(&needs, &spaces, &reserved_needs, record.share) {
             Ok(()) => Event::LetIn,
             Err(Lacks::Now) => {
                 let (ends, mean) = (self.groups.ends.rate(now), self.groups.ends.mean());
@@ -338,23 +350,23 @@
             }
             Err(Lacks::Ever | Lacks::Share) => Event::NoRoom { retry_in_s: NEVER_RETRY_S },
         };
-        self.group_hears(now, id, event, effects);
+        self.on_group_event(now, id, event, effects);
     }
 
     /// Submits a member as a job of its own, with a new id.
     fn place_member(&mut self, now: Seconds, id: GroupId, member: usize, effects: &mut Vec<Effect>) {
-        let Some(book) = self.groups.books.get_mut(&id) else { return };
+        let Some(record) = self.groups.records.get_mut(&id) else { return };
         let job = loop {
-            book.made += 1;
+            record.jobs_created += 1;
             let mut hash = SipHasher13::new();
-            [id.0, member as u64, u64::from(book.made)].iter().for_each(|&n| hash.write_u64(n));
+            [id.0, member as u64, u64::from(record.jobs_created)].iter().for_each(|&n| hash.write_u64(n));
             let job = RequestId(hash.finish());
-            if job.0 != 0 && !self.jobs.contains_key(&job) && !self.groups.cuts.contains_key(&job) {
+            if job.0 != 0 && !self.jobs.contains_key(&job) && !self.groups.pending_cuts.contains_key(&job) {
                 break job;
             }
         };
-        let deadline = book.deadline;
-        let Some(of) = book.members.get_mut(member) else { return };
+        let deadline = record.deadline;
+        let Some(of) = record.members.get_mut(member) else { return };
         of.job = Some(job);
         let task = Task { deadline: deadline.min(of.task.deadline), ..of.task };
         let spec = Arc::new(Spec { name: format!("{:016x}", job.0), ..Spec::clone(&of.spec) });
@@ -362,7 +374,7 @@
         self.submit(now, Ask { job, owner, spec, task }, effects);
     }
 
-    fn group_over(&mut self, now: Seconds, id: GroupId, effects: &mut Vec<Effect>) {
+    fn finish_group(&mut self, now: Seconds, id: GroupId, effects: &mut Vec<Effect>) {
         self.group_changed(id, ChangeKind::Modified, effects);
         self.groups.over.push_back(id);
         self.alarm(now + self.keep.over_s, Alarm::ForgetGroup(id));
@@ -375,7 +387,7 @@
     pub(super) fn forget_group(&mut self, id: GroupId, effects: &mut Vec<Effect>) {
         self.groups.over.retain(|&other| other != id);
         self.group_changed(id, ChangeKind::Deleted, effects);
-        if let Some(key) = self.groups.books.remove(&id).and_then(|book| book.key) {
+        if let Some(key) = self.groups.records.remove(&id).and_then(|record| record.key) {
             if self.groups.keys.get(&key) == Some(&id) {
                 self.groups.keys.remove(&key);
             }
@@ -384,48 +396,48 @@
 
     /// Records that a copy of a job may run at a machine, until the machine reports its end. For a group
     /// member, the stop order is repeated whenever the machine reconnects.
-    pub(super) fn unproved(&mut self, job: RequestId, machine: MachineId) {
+    pub(super) fn record_possible_copy(&mut self, job: RequestId, machine: MachineId) {
         if !self.nodes.contains(machine) {
             return; // It has left the list: its process is gone.
         }
-        self.ghosts.book(job, machine);
+        self.possible_copies.record(job, machine);
         let Some(Owner::Group { group, member }) = self.jobs.get(&job).map(|j| j.owner) else { return };
-        if !self.groups.cuts.contains_key(&job) {
-            if self.groups.cut_order.len() >= MOST_CUTS {
+        if !self.groups.pending_cuts.contains_key(&job) {
+            if self.groups.cut_order.len() >= MAX_PENDING_CUTS {
                 if let Some(oldest) = self.groups.cut_order.pop_front() {
-                    self.groups.cuts.remove(&oldest);
+                    self.groups.pending_cuts.remove(&oldest);
                 }
             }
             self.groups.cut_order.push_back(job);
         }
-        let none = || Cut { of: (group, member), machines: BTreeSet::new() };
-        let cut = self.groups.cuts.entry(job).or_insert_with(none);
+        let none = || PendingCut { of: (group, member), machines: BTreeSet::new() };
+        let cut = self.groups.pending_cuts.entry(job).or_insert_with(none);
         cut.machines.insert(machine);
     }
 
     /// Handles a machine's report that a copy is over.
     pub(super) fn prove_gone(&mut self, job: RequestId, machine: MachineId) {
-        self.ghosts.prove_gone(job, machine);
-        if let Some(cut) = self.groups.cuts.get_mut(&job) {
+        self.possible_copies.prove_gone(job, machine);
+        if let Some(cut) = self.groups.pending_cuts.get_mut(&job) {
             cut.machines.remove(&machine);
-            self.groups.settle(job);
+            self.groups.settle_cut(job);
         }
     }
 
     /// Handles the proof that a machine's process is gone with all its copies.
     pub(super) fn prove_all_gone(&mut self, machine: MachineId) {
-        self.ghosts.prove_all_gone(machine);
-        let here = |cut: &Cut| cut.machines.contains(&machine);
+        self.possible_copies.prove_all_gone(machine);
+        let here = |cut: &PendingCut| cut.machines.contains(&machine);
         let jobs: Vec<RequestId> =
-            self.groups.cuts.iter().filter(|(_, cut)| here(cut)).map(|(&job, _)| job).collect();
+            self.groups.pending_cuts.iter().filter(|(_, cut)| here(cut)).map(|(&job, _)| job).collect();
         jobs.into_iter().for_each(|job| self.prove_gone(job, machine));
     }
 
     /// A machine has reconnected: the stop orders that it has not confirmed are sent to it first.
-    pub(super) fn cut_again(&mut self, machine: MachineId, effects: &mut Vec<Effect>) {
-        let here = |(_, cut): &(&RequestId, &Cut)| cut.machines.contains(&machine);
-        let jobs = self.groups.cuts.iter().filter(here).map(|(&job, _)| job);
-        effects.extend(jobs.map(|job| Effect::Stop { machine, job, cause: CUT }));
+    pub(super) fn resend_cuts(&mut self, machine: MachineId, effects: &mut Vec<Effect>) {
+        let here = |(_, cut): &(&RequestId, &PendingCut)| cut.machines.contains(&machine);
+        let jobs = self.groups.pending_cuts.iter().filter(here).map(|(&job, _)| job);
+        effects.extend(jobs.map(|job| Effect::Stop { machine, job, cause: CAUSE_CUT }));
     }
 }
 
--- a/src/state/groups/tests.rs
+++ b/src/state/groups/tests.rs
@@ -1,4 +1,5 @@
-//! Groups in the reducer: hard cases one by one, and a simulated fleet that fails by seed, on a clock of its own.
+//! Groups in the reducer: single difficult cases, and a simulated fleet with seeded failures on a simulated
+//! clock.
 
 use super::*;
 use crate::decide::groups::{OnLoss, Phase as GroupPhase, Policy};
@@ -15,14 +16,14 @@
     replacements: 2,
 };
 
-/// A message to a machine, in order on its connection.
+/// A message to a machine; messages of a connection arrive in order.
 #[derive(Clone, Debug)]
 enum Message {
     Launch(RequestId, AttemptNo),
     Stop(RequestId),
 }
 
-/// What happens when.
+/// A simulated event.
 #[derive(Clone, Debug)]
 enum Happens {
     Arrives(u32, u64, Message),
@@ -36,18 +37,18 @@
 /// A simulated machine.
 #[derive(Default)]
 struct Machine {
-    /// Counts its connections: what was on its way on an earlier one is lost.
+    /// Number of the current connection: messages of earlier connections are lost.
     link: u64,
     up: bool,
     hangs: bool,
     inbox: Vec<(u64, Message)>,
-    /// Copies, and whether they run.
+    /// Copies, and whether each is running.
     copies: BTreeMap<RequestId, bool>,
-    /// What waits for a connection: orders to cut, then set-ups.
+    /// Messages that wait for a connection: stop orders first, then attempts.
     kept: Vec<Message>,
 }
 
-/// A copy's life as the machine knows it: group, member, from when, until when.
+/// One run of a copy, as the machine sees it: group, member, start and end.
 type Life = (GroupId, usize, Seconds, Seconds);
 
 struct World {
@@ -156,7 +157,8 @@
         let machine = &mut self.machines[at as usize];
         machine.link += 1;
         (machine.up, machine.inbox) = (false, Vec::new());
-        // Set-ups that were open on it are given up; what runs stays, unless the process died.
+        // Attempts that were open on the connection are abandoned; running tasks continue unless the process
+        // died.
         let gone: Vec<RequestId> =
             machine.copies.iter().filter(|(_, runs)| dies || !**runs).map(|(&job, _)| job).collect();
         gone.into_iter().for_each(|job| self.over(at, job));
@@ -168,7 +170,7 @@
         self.later(0.05, Happens::Up(at));
     }
 
-    /// A copy is no more.
+    /// Ends a copy and records its run.
     fn over(&mut self, at: u32, job: RequestId) {
         self.machines[at as usize].copies.remove(&job);
         if let (Some((_, from)), Some(&(group, member))) = (self.runs.remove(&job), self.owners.get(&job)) {
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Goes on for so long.
+    /// Advances the simulation by the given time.
     fn run(&mut self, span: Seconds) {
         let until = self.now + span;
         loop {
@@ -270,7 +272,8 @@
             let next = self.queue.keys().next().map(|&(at, _)| at);
             let due = alarm.into_iter().chain(next).min().filter(|&at| at as f64 / 1e6 <= until);
             let Some(due) = due else { break };
-            // Times are rounded both ways on their way here: a little later all that is due is due.
+            // Times are rounded up or down by conversions; a small margin ensures that all due events are
+            // due.
             self.now = self.now.max(due as f64 / 1e6 + 2e-6);
             match self.queue.pop_first() {
                 Some((key, happens)) if key.0 <= due => self.happens(happens),
@@ -308,7 +311,8 @@
         self.core.group_view_of(group).expect("a group")
     }
 
-    /// How long groups stood in part, by the machines' own lives of copies.
+    /// The durations for which groups were running only in part, computed from the runs that the machines
+    /// recorded.
     fn partial(&self, sizes: &BTreeMap<GroupId, usize>) -> Vec<Seconds> {
         let mut all = Vec::new();
         for (&group, &size) in sizes {
@@ -336,8 +340,9 @@
     }
 }
 
-/// Guards the count that matters: on machines that refuse, fail, are reset, die, hang and drain, no group stands in part
-/// for over a second but where a machine hangs, no member is doubled, and each group has one answer.
+/// Guards the central guarantee on machines that refuse, fail, are reset, die, hang and drain: no group runs
+/// in part for over a second, unless a machine hangs; no member runs twice at a time; each group has one
+/// answer.
 #[test]
 fn no_partial_group_outlives_a_second() {
     for seed in 1..=6 {
@@ -367,18 +372,19 @@
         world.run(20.0);
         let partial = world.partial(&sizes);
         let greatest = partial.iter().copied().fold(0.0, f64::max);
-        // An order to cut waits at a machine that hangs, here for up to 0.4 s.
+        // A stop order waits at a hanging machine, here for up to 0.4 s.
         let most = if hangs { 1.4 } else { 1.0 };
         assert!(greatest <= most, "seed {seed}: {greatest} s");
         assert!(partial.len() > 200, "seed {seed}: {} times", partial.len());
         assert_eq!(world.answers.len(), 300, "seed {seed}: every group has its answer");
         assert_eq!(world.core.pending(), 0);
-        assert_eq!(world.core.groups.cuts.len(), 0, "seed {seed}: all copies are proved gone");
+        assert_eq!(world.core.groups.pending_cuts.len(), 0, "seed {seed}: all copies are proved gone");
         assert!(world.machines.iter().all(|m| m.copies.is_empty()), "seed {seed}: nothing runs on");
     }
 }
 
-/// Guards groups that each fit alone but not together: 200 at once are placed or turned away, and none is cut by halves.
+/// Guards groups that fit alone but not together: of 200 submitted at once each is placed or refused
+/// completely, and none is stopped after being placed in part.
 #[test]
 fn competing_groups_do_not_block_each_other_in_halves() {
     let mut world = World::new(3, 2);
@@ -395,7 +401,8 @@
     assert!(world.lives.is_empty(), "nothing was cut");
 }
 
-/// Guards a group larger than the fleet, which no coming back helps, before any of it is sent.
+/// Guards against sending members of a group that is larger than the fleet: it is refused before that, as no
+/// retry can help.
 #[test]
 fn a_group_larger_than_the_fleet_is_turned_away() {
     let mut world = World::new(1, 2);
@@ -404,8 +411,9 @@
     assert!(world.owners.is_empty(), "nothing was sent");
 }
 
-/// Guards an answer against a machine that hangs holding part of a group: it is not waited for, its copy is shown as out
-/// of reach, and is the first to go when the machine is there again.
+/// Guards the answer of a group against a machine that hangs with some of its members: the answer does not
+/// wait for the machine, its copies are shown as unreachable, and they are stopped first when the machine
+/// resumes.
 #[test]
 fn a_machine_that_hangs_is_cut_when_it_wakes() {
     let mut world = World::new(5, 2);
@@ -418,7 +426,7 @@
     let unreachable: Vec<usize> = (0..6).filter(|&at| !view.members[at].unreachable.is_empty()).collect();
     assert!(!unreachable.is_empty());
     assert_eq!(view.phase, GroupPhase::Over);
-    // It is reset meanwhile: what was on its way to it is lost, and is sent again.
+    // The connection is reset meanwhile: messages in flight are lost and sent again.
     world.died_or_reset(0, false);
     world.run(0.2);
     world.happens(Happens::Wakes(0));
@@ -427,7 +435,7 @@
     assert!(world.view(id).members.iter().all(|m| m.unreachable.is_empty()));
 }
 
-/// Guards owners and operators: a group that is given up, or a planner that stops, leaves nothing behind.
+/// Guards owners and operators: a cancelled group, or a planner that shuts down, leaves no copies behind.
 #[test]
 fn a_cancel_and_a_stop_leave_nothing() {
     for stop in [false, true] {
@@ -446,7 +454,7 @@
     }
 }
 
-/// Guards what stands: a lost member is replaced on another machine, or takes the others with it.
+/// Guards running groups: a lost member is replaced on another machine, or the whole group is stopped.
 #[test]
 fn a_lost_member_is_replaced_or_ends_the_group() {
     for on_loss in [OnLoss::Replace, OnLoss::Cut] {
@@ -466,8 +474,8 @@
     }
 }
 
-/// Guards a keyed member whose earlier try may have run: the whole is tried again once that is proved gone, inside the
-/// member's window, and no copy is ever beside another.
+/// Guards a keyed member whose earlier attempt may have run: the whole group is tried again once that copy is
+/// proved gone, within the member's repeat window, and no two copies run at a time.
 #[test]
 fn a_keyed_member_is_tried_again_in_its_window() {
     let mut world = World::new(13, 2);
@@ -475,7 +483,7 @@
     let id = world.group(1, 3, 1.0, OnLoss::Keep);
     world.run(0.01);
     world.fail = 0.0;
-    // A second is what a refused member is told to stay away.
+    // A refused member is retried after one second.
     world.run(1.2);
     let view = world.view(id);
     assert_eq!((view.answer, view.tries), (Some(Answer::Placed), 2), "{view:?}");
@@ -484,8 +492,8 @@
     assert!(world.partial(&BTreeMap::from([(id, 3)])).iter().all(|time| *time <= 1.0));
 }
 
-/// Guards owners and machines: one that went silent and comes back cold at its address holds nothing any more, and is not
-/// told to cut what it never had.
+/// Guards owners and machines: a machine that went silent and returns cold at its address holds no copies,
+/// and gets no stop orders for earlier ones.
 #[test]
 fn a_machine_that_comes_back_cold_holds_nothing() {
     let mut world = World::new(5, 2);
--- a/src/state/words.rs
+++ b/src/state/interface.rs
@@ -216,7 +216,7 @@
     CutShort { requests: u64 },
     /// Final answer: the task is running.
     Placed { owner: Owner, job: RequestId, body: String },
-    /// Final answer: refused. The task did not run, so that a retry is safe.
+    /// Final answer: refused; a retry is safe.
     Refused { owner: Owner, job: RequestId, why: Refusal, retry_in_s: Seconds },
     /// Final answer: failed. The task may have run.
     Failed { owner: Owner, job: RequestId },
@@ -256,7 +256,7 @@
     Running,
     /// Ran to completion.
     Succeeded,
-    /// Refused without having run; a retry is safe.
+    /// Refused; a retry is safe.
     Refused,
     /// Failed; it may have run.
     Failed,
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -6,31 +6,31 @@
 pub(super) const JOB_BYTES: usize = 1024;
 /// Count. Pending jobs allowed on one client connection, so that no single client takes the memory that all
 /// share.
-pub(super) const MOST_ON_LINK: usize = 1000;
+pub(super) const MAX_PENDING_PER_LINK: usize = 1000;
 /// Seconds. A running task counts as lost if the machine list has not named its machine within this time.
-const UNLISTED_S: Seconds = 2.5;
+const UNLISTED_TIMEOUT_S: Seconds = 2.5;
 /// Seconds. A refusal this close to the deadline is reported as a missed deadline.
 const NEAR_DEADLINE_S: Seconds = 0.05;
 /// Seconds. Retry delay reported for a job that is refused without having been tried.
-const DOOR_RETRY_S: Seconds = 1.0;
+const BUSY_RETRY_S: Seconds = 1.0;
 /// Seconds. Time after the deadline at which an answer is forced if the placer has given none.
 const FORCED_ANSWER_S: Seconds = 0.02;
 /// Multiple of the class's usual deadline. A job with a longer waiting time is not admitted.
-const MOST_WAIT_TIMES: f64 = 8.0;
+const MAX_WAIT_MULTIPLE: f64 = 8.0;
 
 impl Job {
     /// Records that an attempt may have run.
-    pub(super) fn may_have_run(&mut self, trial: &Trial) {
+    pub(super) fn may_have_run(&mut self, open_attempt: &OpenAttempt) {
         if self.risky_since.is_none() {
-            (self.risky_since, self.risky_at) = (Some(trial.at), Some(trial.spot));
+            (self.risky_since, self.risky_location) = (Some(open_attempt.at), Some(open_attempt.location));
         }
-        self.own_risk = true;
+        self.own_attempt_risky = true;
     }
 
     /// Whether a machine is in the same place (machine, cell or zone) as the one at which the job may have
     /// run first.
-    pub(super) fn is_together(&self, place: Place, there: Spot) -> bool {
-        self.risky_at.is_none_or(|first| match place {
+    pub(super) fn is_colocated(&self, place: Place, there: Location) -> bool {
+        self.risky_location.is_none_or(|first| match place {
             Place::All => true,
             Place::Machine => first.machine == there.machine,
             Place::Cell => first.cell == there.cell,
@@ -41,19 +41,19 @@
 
 /// The final answer to a job that is withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Final {
+pub(super) enum FinalAnswer {
     /// Failed: the job may have run.
     Failed,
     /// Refused: the job never ran.
     Refused,
     /// No answer: the owner does not wait for one.
-    Unowed,
+    NoAnswer,
 }
 
 /// The location of a machine. It is kept with a job, as the machine may leave the list within the repeat
 /// window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Spot {
+pub(super) struct Location {
     pub machine: MachineId,
     pub zone: ZoneId,
     pub cell: CellId,
@@ -65,33 +65,33 @@
     pub machine: MachineId,
     /// Whether the machine reported or confirmed its end: then no message about it follows the answer to a
     /// later connection check.
-    pub settled: bool,
+    pub confirmed: bool,
 }
 
 /// The open attempt of a job: queued or sent, and not over.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Trial {
+pub(super) struct OpenAttempt {
     pub attempt: AttemptNo,
     pub machine: MachineId,
-    pub spot: Spot,
+    pub location: Location,
     pub at: Seconds,
-    pub left: bool,
+    pub sent: bool,
     /// The connection check sent before this attempt, because an earlier attempt was sent to the same
     /// machine; messages that arrive before its answer belong to the earlier attempt.
     pub fence: Option<u64>,
     /// Set once the attempt is cancelled: the connection check whose answer confirms the cancellation. The
     /// attempt counts as open until then.
-    pub asked: Option<u64>,
+    pub give_up_fence: Option<u64>,
     /// The attempt ended without confirmation by its machine: a copy may run, and an answer may still arrive.
-    pub out_of_sight: bool,
+    pub unconfirmed_end: bool,
     /// Set if the machine left the list and its connection is not known to have ended.
     pub departure: Option<DepartureId>,
 }
 
-impl Trial {
+impl OpenAttempt {
     /// Whether a message of that machine about the job belongs to this attempt.
     pub fn is_answered_by(&self, machine: MachineId) -> bool {
-        self.machine == machine && self.left && self.fence.is_none()
+        self.machine == machine && self.sent && self.fence.is_none()
     }
 }
 
@@ -117,9 +117,9 @@
     /// Start time of the first attempt that may have run.
     pub risky_since: Option<Seconds>,
     /// The location of that attempt's machine.
-    pub(super) risky_at: Option<Spot>,
+    pub(super) risky_location: Option<Location>,
     /// Whether an attempt of this job may have run, rather than of an earlier job with the same key.
-    pub(super) own_risk: bool,
+    pub(super) own_attempt_risky: bool,
     /// Version of the last change.
     pub version: u64,
     /// The operators' limit that refused a further attempt.
@@ -127,8 +127,8 @@
     /// What the job holds of the limits' budgets, until its final answer.
     pub(super) ticket: Option<Ticket>,
     /// Whether an attempt was charged to the limits.
-    pub(super) tried: bool,
-    pub(super) trial: Option<Trial>,
+    pub(super) charged: bool,
+    pub(super) open_attempt: Option<OpenAttempt>,
     /// Earlier attempts that were sent; cleared when the task runs.
     pub(super) past: Vec<Past>,
     /// A cancelled or interrupted attempt was not confirmed by its machine and may still run; no further
@@ -157,7 +157,7 @@
             (matches!(class.effect, Effect_::Keyed { .. }) && ask.spec.key.is_none(), "key"),
             (!(room.cores > 0.0 && room.memory > 0.0), "room"),
             (!kinds.any(|(_, kind)| room.within(limit(kind))), "room"),
-            (ask.task.deadline - now > class.deadline_s * MOST_WAIT_TIMES, "waiting time"),
+            (ask.task.deadline - now > class.deadline_s * MAX_WAIT_MULTIPLE, "waiting time"),
         ];
         faults.iter().find(|(wrong, _)| *wrong).map_or(Ok(()), |(_, what)| Err(*what))
     }
@@ -166,19 +166,19 @@
         let (id, owner) = (ask.job, ask.owner);
         ask.task.deadline = ask.task.deadline.min(self.answers_by);
         if self.jobs.contains_key(&id) {
-            return self.used_twice(now, id, owner, effects);
+            return self.reject_duplicate_id(now, id, owner, effects);
         }
         // A copy of an earlier job with this id may run, and answers could not be attributed to one of the
         // two.
-        if self.ghosts.may_run(id) {
+        if self.possible_copies.may_run(id) {
             return effects.push(Effect::Failed { owner, job: id });
         }
-        let crowded = matches!(owner, Owner::Link(link) if self.owed(link).open >= MOST_ON_LINK);
-        if self.is_full() || crowded || now >= self.answers_by {
-            let (why, retry_in_s) = (Refusal::Busy, DOOR_RETRY_S);
+        let link_is_full = matches!(owner, Owner::Link(link) if self.owed(link).open >= MAX_PENDING_PER_LINK);
+        if self.is_full() || link_is_full || now >= self.answers_by {
+            let (why, retry_in_s) = (Refusal::Busy, BUSY_RETRY_S);
             return effects.push(Effect::Refused { owner, job: id, why, retry_in_s });
         }
-        let (ask, ticket) = match self.limit(now, ask) {
+        let (ask, ticket) = match self.apply_limits(now, ask) {
             Ok(taken) => taken,
             Err(turned) => {
                 let (why, retry_in_s) = (Refusal::Limit(turned.why), turned.retry_in_s);
@@ -191,15 +191,15 @@
             job.ticket = ticket;
         }
         self.changed(id, ChangeKind::Added, effects);
-        self.alarm(task.deadline + FORCED_ANSWER_S, Alarm::Answer(id));
-        self.feed(now, Event::Submitted { request: id, task }, effects);
+        self.alarm(task.deadline + FORCED_ANSWER_S, Alarm::ForceAnswer(id));
+        self.feed_placer(now, Event::Submitted { request: id, task }, effects);
     }
 
     /// Handles a submission with an id that is in use. On another connection the owner of the first job is
     /// not at fault, and nothing is sent there that could be taken for an answer to the first job. On the
     /// same connection answers could not be attributed: a pending job fails, and the second submission gets
     /// no answer of its own.
-    pub(super) fn used_twice(
+    pub(super) fn reject_duplicate_id(
         &mut self,
         now: Seconds,
         id: RequestId,
@@ -208,7 +208,7 @@
     ) {
         let first = self.jobs.get(&id).filter(|j| j.owner == owner && j.phase == Phase::Pending);
         if first.is_some() {
-            self.take_back(now, id, Final::Failed, effects);
+            self.withdraw(now, id, FinalAnswer::Failed, effects);
         }
         if let Owner::Link(link) = owner {
             effects.push(Effect::Expel { link });
@@ -216,14 +216,14 @@
     }
 
     pub(super) fn add(&mut self, now: Seconds, ask: Ask, phase: Phase) {
-        let (mut risky_since, mut risky_at) = (None, None);
+        let (mut risky_since, mut risky_location) = (None, None);
         if let (Some(key), Owner::Rest | Owner::Group { .. }) = (&ask.spec.key, ask.owner) {
             let at = (ask.spec.class.clone(), key.clone());
             let before = self.keys.insert(at, ask.job).and_then(|before| self.jobs.get(&before));
             // A retry stays in the repeat window that the first try opened. A job that was running has
             // certainly ended, and after the window a request counts as a new placement, as on the platform.
             let before = before.filter(|j| j.machine.is_none());
-            risky_at = before.and_then(|j| j.risky_at);
+            risky_location = before.and_then(|j| j.risky_location);
             let risky = before.and_then(|j| j.risky_since);
             risky_since = risky.filter(|&since| match self.settings.classes[ask.task.class].effect {
                 Effect_::Keyed { window_s, .. } => now < since + window_s,
@@ -240,13 +240,13 @@
             last: None,
             retry_in_s: 0.0,
             risky_since,
-            risky_at: risky_at.filter(|_| risky_since.is_some()),
-            own_risk: false,
+            risky_location: risky_location.filter(|_| risky_since.is_some()),
+            own_attempt_risky: false,
             version: 0,
             turned: None,
             ticket: None,
-            tried: false,
-            trial: None,
+            charged: false,
+            open_attempt: None,
             past: Vec::new(),
             unheard: false,
             placed_at: 0.0,
@@ -260,12 +260,12 @@
         }
         self.jobs.insert(ask.job, job);
         if phase == Phase::Pending {
-            self.count_waiting(ask.job, true);
+            self.count_pending(ask.job, true);
         }
     }
 
     /// Counts a job as pending, or removes it from the count.
-    pub(super) fn count_waiting(&mut self, id: RequestId, waits: bool) {
+    pub(super) fn count_pending(&mut self, id: RequestId, waits: bool) {
         let Some(job) = self.jobs.get(&id) else { return };
         let step = |count: usize, by: usize| if waits { count + by } else { count.saturating_sub(by) };
         self.pending = step(self.pending, 1);
@@ -288,19 +288,19 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             (job.attempts, job.machine, job.placed_at) = (1, Some(machine), now);
         }
-        match self.nodes.stands(machine, id) {
-            Stands::First => effects.push(Effect::Watch { machine }),
-            Stands::BesideOthers => {}
+        match self.nodes.add_running(machine, id) {
+            RunningAdded::First => effects.push(Effect::Watch { machine }),
+            RunningAdded::BesideOthers => {}
             // No end can be reported by a machine to which there is no connection.
-            Stands::Unlisted => self.alarm(now + UNLISTED_S, Alarm::Unlisted(id)),
+            RunningAdded::Unlisted => self.alarm(now + UNLISTED_TIMEOUT_S, Alarm::UnlistedTimeout(id)),
         }
         self.changed(id, ChangeKind::Added, effects);
-        self.feed(now, Event::Resident { request: id, task, machine }, effects);
+        self.feed_placer(now, Event::Resident { request: id, task, machine }, effects);
     }
 
     /// Drops the description of a running task that came on a platform connection; REST clients can still
     /// read theirs.
-    pub(super) fn lighten(&mut self, id: RequestId) {
+    pub(super) fn drop_description(&mut self, id: RequestId) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|j| matches!(j.owner, Owner::Link(_))) {
             job.spec = Arc::new(Spec { body: String::new(), ..Spec::clone(&job.spec) });
         }
@@ -345,35 +345,49 @@
         if phase == Phase::Running {
             if let Some(machine) = machine {
                 effects.push(Effect::Stop { machine, job: id, cause });
-                self.unproved(id, machine);
+                self.record_possible_copy(id, machine);
             }
             self.close(now, id, Phase::Cancelled, effects);
-            self.feed(now, Event::Withdrawn { request: id }, effects);
-            self.feed(now, ended(id, attempt, Outcome::Cancelled, Reason::Unknown, true, None), effects);
+            self.feed_placer(now, Event::Withdrawn { request: id }, effects);
+            self.feed_placer(
+                now,
+                ended(id, attempt, Outcome::Cancelled, Reason::Unknown, true, None),
+                effects,
+            );
         } else {
-            self.take_back(now, id, Final::Unowed, effects);
+            self.withdraw(now, id, FinalAnswer::NoAnswer, effects);
         }
     }
 
     /// Ends a pending job, with a final answer unless the owner expects none, and informs the placer.
-    pub(super) fn take_back(&mut self, now: Seconds, id: RequestId, last: Final, effects: &mut Vec<Effect>) {
-        let trial = self.give_up_trial(id, effects);
+    pub(super) fn withdraw(
+        &mut self,
+        now: Seconds,
+        id: RequestId,
+        last: FinalAnswer,
+        effects: &mut Vec<Effect>,
+    ) {
+        let open_attempt = self.cancel_open_attempt(id, effects);
         match last {
-            Final::Failed => self.answer(now, id, None, effects),
-            Final::Refused => self.answer(now, id, Some(DOOR_RETRY_S), effects),
-            Final::Unowed => self.close(now, id, Phase::Cancelled, effects),
+            FinalAnswer::Failed => self.answer(now, id, None, effects),
+            FinalAnswer::Refused => self.answer(now, id, Some(BUSY_RETRY_S), effects),
+            FinalAnswer::NoAnswer => self.close(now, id, Phase::Cancelled, effects),
         }
-        self.feed(now, Event::Withdrawn { request: id }, effects);
-        if let Some(trial) = trial {
-            let outcome = if trial.left { Outcome::Cancelled } else { Outcome::Moot };
-            self.feed(now, ended(id, trial.attempt, outcome, Reason::Unknown, true, None), effects);
+        self.feed_placer(now, Event::Withdrawn { request: id }, effects);
+        if let Some(open_attempt) = open_attempt {
+            let outcome = if open_attempt.sent { Outcome::Cancelled } else { Outcome::Moot };
+            self.feed_placer(
+                now,
+                ended(id, open_attempt.attempt, outcome, Reason::Unknown, true, None),
+                effects,
+            );
         }
     }
 
     /// Moves a job to a final state; it stays readable for a while if the core keeps finished jobs.
     pub(super) fn close(&mut self, now: Seconds, id: RequestId, phase: Phase, effects: &mut Vec<Effect>) {
         if self.jobs.get(&id).is_some_and(|j| j.phase == Phase::Pending) {
-            self.answered(now, id);
+            self.release_pending(now, id);
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
         match job.owner {
@@ -390,7 +404,7 @@
         }
         job.phase = phase;
         if let Some(machine) = job.machine {
-            self.nodes.stands_no_more(machine, id);
+            self.nodes.remove_running(machine, id);
         }
         if self.keep.over == 0 {
             self.jobs.remove(&id);
@@ -398,7 +412,7 @@
         }
         self.changed(id, ChangeKind::Modified, effects);
         self.over.push_back(id);
-        self.alarm(now + self.keep.over_s, Alarm::Forget(id));
+        self.alarm(now + self.keep.over_s, Alarm::ForgetJob(id));
         while self.over.len() > self.keep.over {
             if let Some(oldest) = self.over.front().copied() {
                 self.forget(oldest, effects);
--- a/src/state/limits.rs
+++ b/src/state/limits.rs
@@ -5,10 +5,10 @@
 use crate::decide::limits::Reading;
 
 /// Count. Errors of a rejected file that are kept for reading.
-const MOST_FAULTS: usize = 20;
+const MAX_ERRORS: usize = 20;
 
 /// The limits in force, and the file from which they came.
-pub(super) struct InForce {
+pub(super) struct ActiveLimits {
     pub limits: Limits,
     generation: u64,
     digest: String,
@@ -33,13 +33,13 @@
     pub table: Arc<Table>,
 }
 
-impl InForce {
-    pub fn new(limits: Limits) -> InForce {
-        InForce { limits, generation: 0, digest: String::new(), since: 0.0, refused: None }
+impl ActiveLimits {
+    pub fn new(limits: Limits) -> ActiveLimits {
+        ActiveLimits { limits, generation: 0, digest: String::new(), since: 0.0, refused: None }
     }
 
     pub fn refuse(&mut self, now: Seconds, mut why: Vec<String>) {
-        why.truncate(MOST_FAULTS);
+        why.truncate(MAX_ERRORS);
         self.refused = Some((now, why));
     }
 }
@@ -47,14 +47,14 @@
 impl Core {
     /// The limits in force and their current use.
     pub fn limits_view(&mut self, now: Seconds) -> LimitsView {
-        let own = &mut self.limits;
+        let active = &mut self.limits;
         LimitsView {
-            generation: own.generation,
-            digest: own.digest.clone(),
-            since: own.since,
-            refused: own.refused.clone(),
-            readings: own.limits.readings(now),
-            table: own.limits.table().clone(),
+            generation: active.generation,
+            digest: active.digest.clone(),
+            since: active.since,
+            refused: active.refused.clone(),
+            readings: active.limits.readings(now),
+            table: active.limits.table().clone(),
         }
     }
 
@@ -64,7 +64,7 @@
         self.limits.limits.kept()
     }
 
-    pub(super) fn take_limits(&mut self, now: Seconds, table: Arc<Table>, digest: String) {
+    pub(super) fn activate_limits(&mut self, now: Seconds, table: Arc<Table>, digest: String) {
         self.limits.limits.swap(now, table);
         (self.limits.digest, self.limits.since) = (digest, now);
         self.limits.generation += 1;
@@ -72,7 +72,11 @@
 
     /// Applies the limits in force to a new job, or rejects the job. A job keeps these limits when the file
     /// changes.
-    pub(super) fn limit(&mut self, now: Seconds, mut ask: Ask) -> Result<(Ask, Option<Ticket>), Turned> {
+    pub(super) fn apply_limits(
+        &mut self,
+        now: Seconds,
+        mut ask: Ask,
+    ) -> Result<(Ask, Option<Ticket>), Turned> {
         let front = match ask.owner {
             Owner::Link(_) => Front::Platform,
             Owner::Rest | Owner::Group { .. } => Front::Rest,
@@ -93,17 +97,17 @@
     }
 
     /// Removes a job from the pending ones and returns its budget.
-    pub(super) fn answered(&mut self, now: Seconds, id: RequestId) {
-        self.count_waiting(id, false);
+    pub(super) fn release_pending(&mut self, now: Seconds, id: RequestId) {
+        self.count_pending(id, false);
         if let Some(ticket) = self.jobs.get_mut(&id).and_then(|job| job.ticket.take()) {
             self.limits.limits.over(now, ticket);
         }
     }
 
     /// Charges an attempt that is about to start to the job's limits; returns false if a limit forbids it.
-    pub(super) fn pay_for_try(&mut self, now: Seconds, id: RequestId) -> bool {
+    pub(super) fn charge_attempt(&mut self, now: Seconds, id: RequestId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else { return false };
-        let first = !std::mem::replace(&mut job.tried, true);
+        let first = !std::mem::replace(&mut job.charged, true);
         let Some(ticket) = &job.ticket else { return true };
         if first {
             self.limits.limits.first_try(now, ticket);
@@ -114,7 +118,7 @@
     }
 
     /// Whether the limits allow no further attempt of a pending job.
-    pub(super) fn is_last(&mut self, now: Seconds, id: RequestId) -> bool {
+    pub(super) fn is_last_attempt(&mut self, now: Seconds, id: RequestId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else { return true };
         if job.attempts >= self.settings.max_attempts.min(job.task.limits.attempts) {
             return true;
--- a/src/state/limits/tests.rs
+++ b/src/state/limits/tests.rs
@@ -1,4 +1,5 @@
-//! The core's guards under the operators' limits: random files, random events, and an auditor that books every attempt.
+//! The core's guards under the operators' limits: random files, random events, and an auditor that records
+//! every attempt.
 
 use super::*;
 use crate::decide::limits::tests::model;
@@ -9,7 +10,7 @@
 
 const CLASSES: [&str; 3] = ["stateless", "keyed", "once"];
 const WINDOW_S: Seconds = 6.0;
-/// Seconds. What an answer may be late by: the core's own guard, and one step of the test's clock.
+/// Seconds. Accepted delay of an answer: the core's forced answer, and one step of the test's clock.
 const LATE_S: Seconds = 0.5;
 
 pub(crate) fn core() -> Core {
@@ -31,7 +32,7 @@
     Core::new(settings, words, 7, keep).expect("a core")
 }
 
-/// What the auditor knows of a job.
+/// The auditor's record of a job.
 struct Entry {
     limits: Resolved,
     asked_at: Seconds,
@@ -40,12 +41,12 @@
     launches: usize,
     out: Option<(MachineId, AttemptNo)>,
     risky_since: Option<Seconds>,
-    left: bool,
+    sent: bool,
     sent_at: Seconds,
     answers: usize,
 }
 
-/// A core, a clock, and an auditor of all that goes out.
+/// A core, a clock, and an auditor that checks every effect.
 struct Audit {
     core: Core,
     now: Seconds,
@@ -109,7 +110,7 @@
                         now - since
                     );
                 }
-                (entry.out, entry.left, entry.sent_at) = (Some((*machine, *attempt)), false, now);
+                (entry.out, entry.sent, entry.sent_at) = (Some((*machine, *attempt)), false, now);
             }
             Effect::GiveUp { job, .. } => self.ended(*job, true),
             Effect::Placed { job, .. } | Effect::Failed { job, .. } | Effect::Refused { job, .. } => {
@@ -126,10 +127,10 @@
         }
     }
 
-    /// An attempt is no longer out; it may have run where it left and `may_have_run`.
+    /// Records the end of an attempt, which may have run if it was sent and `may_have_run` is set.
     fn ended(&mut self, job: RequestId, may_have_run: bool) {
         let Some(entry) = self.jobs.get_mut(&job) else { return };
-        if entry.out.take().is_some() && may_have_run && entry.left {
+        if entry.out.take().is_some() && may_have_run && entry.sent {
             entry.risky_since = entry.risky_since.or(Some(entry.sent_at));
         }
     }
@@ -167,7 +168,7 @@
             launches,
             out: None,
             risky_since,
-            left: false,
+            sent: false,
             sent_at: 0.0,
             answers: 0,
         };
@@ -175,10 +176,10 @@
         self.tell(Input::Submit(Ask { job, owner, spec: Arc::new(spec), task }));
     }
 
-    /// The attempt that went out first of those that are, or that comes `skip` after it.
+    /// The open attempt with the lowest job id, or the one `skip` places after it.
     fn out(&self, skip: usize) -> Option<(RequestId, MachineId, AttemptNo, bool)> {
         let out =
-            |(id, e): (&RequestId, &Entry)| e.out.map(|(machine, attempt)| (*id, machine, attempt, e.left));
+            |(id, e): (&RequestId, &Entry)| e.out.map(|(machine, attempt)| (*id, machine, attempt, e.sent));
         let all: Vec<_> = self.jobs.iter().filter_map(out).collect();
         all.get(skip.checked_rem(all.len())?).copied()
     }
@@ -197,7 +198,7 @@
             7..=9 => {
                 if let Some((job, _, attempt, false)) = self.out(argument) {
                     if let Some(entry) = self.jobs.get_mut(&job) {
-                        entry.left = true;
+                        entry.sent = true;
                     }
                     self.tell(Input::Sent { job, attempt });
                 }
@@ -217,11 +218,11 @@
             }
             14 => {
                 let machine = MachineId(argument as u32 % 3);
-                // What left on a broken connection may have run.
+                // An attempt sent on a broken connection may have run.
                 let hit: Vec<RequestId> = self
                     .jobs
                     .iter()
-                    .filter(|(_, e)| e.left && e.out.is_some_and(|(at, _)| at == machine))
+                    .filter(|(_, e)| e.sent && e.out.is_some_and(|(at, _)| at == machine))
                     .map(|(id, _)| *id)
                     .collect();
                 hit.into_iter().for_each(|job| self.ended(job, true));
@@ -233,7 +234,8 @@
 }
 
 proptest! {
-    /// Guards the rules against any file and any turn of events: attempts, their times, copies, windows, and one answer.
+    /// Guards the rules under any file and any sequence of events: number of attempts, their times, copies,
+    /// windows, and one answer.
     #[test]
     fn the_guards_hold_whatever_the_file_says(
         first in model(), second in model(),
@@ -247,7 +249,7 @@
             }
             audit.step(kind, argument);
         }
-        // In the end all time is up: nothing waits, and nothing is held.
+        // After all deadlines nothing is pending, and no budget is held.
         for _ in 0..80 {
             audit.now += 0.1;
             audit.tell(Input::Tick);
@@ -276,7 +278,8 @@
     effects.iter().filter_map(refusal).collect()
 }
 
-/// Guards owners: what a spent budget gives up is answered at once, not after a pause and not near the deadline.
+/// Guards owners: a job whose retry budget is exhausted is answered at once, not after a pause and not near
+/// the deadline.
 #[test]
 fn a_spent_budget_answers_at_once() {
     let budget = Some(crate::decide::limits::Budget { share: 0.0, floor: 0 });
@@ -301,7 +304,7 @@
     assert_eq!(audit.core.job_view_of(job).expect("a job").phase, Phase::Refused);
 }
 
-/// Guards a job against a file that comes while it waits, and new jobs against an old file.
+/// Guards pending jobs against a file that is loaded while they wait, and new jobs against the former file.
 #[test]
 fn a_job_keeps_the_limits_under_which_it_was_taken() {
     let of = |attempts| {
@@ -319,7 +322,7 @@
         audit.now += 0.05;
         for skip in 0..2 {
             if let Some((job, machine, attempt, _)) = audit.out(skip) {
-                audit.jobs.get_mut(&job).expect("a job").left = true;
+                audit.jobs.get_mut(&job).expect("a job").sent = true;
                 audit.tell(Input::Sent { job, attempt });
                 audit.ended(job, false);
                 let (before, after, why) = (Outcome::Full, Outcome::Ok, Reason::LineFull);
@@ -333,7 +336,7 @@
     assert!(audit.jobs.values().all(|e| e.answers == 1));
 }
 
-/// Guards memory over a long life of reloads while jobs come and go.
+/// Guards memory over many reloads while jobs come and go.
 #[test]
 fn endless_reloads_keep_nothing() {
     let mut audit = audit(Model::default());
@@ -362,8 +365,8 @@
     assert_eq!(audit.core.gauges_kept(), 1);
 }
 
-/// Guards a keyed job whose first attempt may have run against a file that shrinks the window under it: it keeps its own,
-/// and only jobs that come later have the shorter one.
+/// Guards a keyed job whose first attempt may have run against a file that shortens its repeat window: the
+/// job keeps its own, and only later jobs have the shorter one.
 #[test]
 fn a_window_that_shrinks_holds_for_later_jobs_alone() {
     let of =
@@ -372,7 +375,7 @@
     for (launches, file) in [(2, Some(of(0.5))), (1, None)] {
         audit.submit(1, "a", true);
         let (job, machine, attempt, _) = audit.out(0).expect("a launch");
-        audit.jobs.get_mut(&job).expect("a job").left = true;
+        audit.jobs.get_mut(&job).expect("a job").sent = true;
         audit.tell(Input::Sent { job, attempt });
         if let Some(file) = file {
             audit.file(file);
--- a/src/state/machine_table.rs
+++ b/src/state/machine_table.rs
@@ -9,7 +9,7 @@
 //! - The number of machines examined for one update does not grow with the number of machines
 //!   (`a_notice_looks_at_no_machine_that_it_does_not_concern`).
 
-use super::jobs::Spot;
+use super::jobs::Location;
 use super::*;
 use std::cell::Cell;
 
@@ -19,9 +19,9 @@
     entry: Entry,
     address: String,
     /// Jobs whose task runs there.
-    pub standing: BTreeSet<RequestId>,
+    pub running: BTreeSet<RequestId>,
     /// Jobs with an open attempt there, queued or sent.
-    pub trying: BTreeSet<RequestId>,
+    pub open_attempts: BTreeSet<RequestId>,
     /// The time since which it refuses connections while draining.
     pub refuses_since: Option<Seconds>,
     /// Version of the last change.
@@ -42,14 +42,14 @@
 
 impl Entry {
     /// The machine's location.
-    pub(super) fn spot(&self) -> Spot {
-        Spot { machine: self.machine, zone: self.zone, cell: self.cell }
+    pub(super) fn location(&self) -> Location {
+        Location { machine: self.machine, zone: self.zone, cell: self.cell }
     }
 }
 
 /// The situation at a machine when a running task is added there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stands {
+pub(super) enum RunningAdded {
     /// It is the first running task at the machine.
     First,
     /// Other tasks already run at the machine.
@@ -70,7 +70,7 @@
     unlisted: BTreeMap<MachineId, BTreeSet<RequestId>>,
     /// Count. Entries that this table's searches have examined so far; tests measure the cost of an update by
     /// it.
-    looked_at: Cell<u64>,
+    examined: Cell<u64>,
 }
 
 impl MachineTable {
@@ -92,19 +92,19 @@
 
     /// All machines, sorted by id; each counts as examined.
     pub fn iter(&self) -> impl Iterator<Item = (MachineId, &Node)> {
-        self.nodes.iter().inspect(|_| self.count_look()).map(|(&id, node)| (id, node))
+        self.nodes.iter().inspect(|_| self.count_examined()).map(|(&id, node)| (id, node))
     }
 
     /// The first other machine at an address.
     pub fn other_at(&self, address: &str, than: MachineId) -> Option<&Node> {
         let there = self.by_address.get(address)?;
-        let other = there.iter().inspect(|_| self.count_look()).find(|&&id| id != than)?;
+        let other = there.iter().inspect(|_| self.count_examined()).find(|&&id| id != than)?;
         self.nodes.get(other)
     }
 
     /// The machines that accept no new work, sorted by id.
     pub fn not_ready(&self) -> Vec<MachineId> {
-        self.not_ready.iter().inspect(|_| self.count_look()).copied().collect()
+        self.not_ready.iter().inspect(|_| self.count_examined()).copied().collect()
     }
 
     /// Adds a machine that the list names for the first time, with the jobs that were reported as running
@@ -112,10 +112,10 @@
     pub fn insert(&mut self, entry: Entry, address: String) {
         let machine = entry.machine;
         self.remove(machine);
-        let standing = self.unlisted.remove(&machine).unwrap_or_default();
+        let running = self.unlisted.remove(&machine).unwrap_or_default();
         self.index(&entry, &address);
-        let (trying, refuses_since, version) = (BTreeSet::new(), None, 0);
-        self.nodes.insert(machine, Node { entry, address, standing, trying, refuses_since, version });
+        let (open_attempts, refuses_since, version) = (BTreeSet::new(), None, 0);
+        self.nodes.insert(machine, Node { entry, address, running, open_attempts, refuses_since, version });
     }
 
     /// Updates a known machine with its new list entry.
@@ -139,23 +139,23 @@
     }
 
     /// Records that a job's task runs at a machine.
-    pub fn stands(&mut self, machine: MachineId, job: RequestId) -> Stands {
+    pub fn add_running(&mut self, machine: MachineId, job: RequestId) -> RunningAdded {
         let Some(node) = self.nodes.get_mut(&machine) else {
             self.unlisted.entry(machine).or_default().insert(job);
-            return Stands::Unlisted;
+            return RunningAdded::Unlisted;
         };
-        node.standing.insert(job);
-        if node.standing.len() == 1 {
-            Stands::First
+        node.running.insert(job);
+        if node.running.len() == 1 {
+            RunningAdded::First
         } else {
-            Stands::BesideOthers
+            RunningAdded::BesideOthers
         }
     }
 
     /// Records that a job's task no longer runs at a machine.
-    pub fn stands_no_more(&mut self, machine: MachineId, job: RequestId) {
+    pub fn remove_running(&mut self, machine: MachineId, job: RequestId) {
         if let Some(node) = self.nodes.get_mut(&machine) {
-            node.standing.remove(&job);
+            node.running.remove(&job);
         } else if let Entry_::Occupied(mut at) = self.unlisted.entry(machine) {
             at.get_mut().remove(&job);
             if at.get().is_empty() {
@@ -164,8 +164,8 @@
         }
     }
 
-    fn count_look(&self) {
-        self.looked_at.set(self.looked_at.get() + 1);
+    fn count_examined(&self) {
+        self.examined.set(self.examined.get() + 1);
     }
 
     fn index(&mut self, entry: &Entry, address: &str) {
--- a/src/state/machine_table/tests.rs
+++ b/src/state/machine_table/tests.rs
@@ -1,10 +1,10 @@
-//! The indexes against plain searches, and what a notice of the list looks at.
+//! The indexes compared with full searches, and the cost of a list update.
 
 use super::*;
 use crate::state::tests::core;
 use proptest::prelude::*;
 
-/// A notice of machine `machine` at one of some addresses.
+/// The list entry of a machine at the address with the given number.
 fn notice(machine: u32, address: u32, standing: Standing, started: u32) -> Notice {
     let (id, key) = (MachineId(machine), MachineKey(u64::from(machine)));
     let (zone, cell, free) = (ZoneId(0), CellId(0), Room { cores: 9.0, memory: 18.0 });
@@ -17,7 +17,7 @@
     core.apply(100.0, Input::List { kind, notices }, &mut Vec::new());
 }
 
-/// Hands in a task that is said to stand at a machine.
+/// Reports a task as running at a machine.
 fn adopt(core: &mut Core, job: u64, machine: u32) {
     let room = Room { cores: 1.0, memory: 1.0 };
     let (service, limits) = (ServiceId(1), TaskLimits::default());
@@ -27,7 +27,7 @@
     core.apply(100.0, Input::Adopt { ask, machine: MachineId(machine) }, &mut Vec::new());
 }
 
-/// [`Core::replace`] as it was before there were indexes: a search of all machines for each notice.
+/// [`Core::resolve_address_conflicts`] without indexes: a search of all machines for each update.
 fn replace_by_search(core: &Core, notices: &mut Vec<Notice>) {
     let nodes: Vec<&Node> = core.nodes.nodes.values().collect();
     let mut replaced = Vec::new();
@@ -45,7 +45,7 @@
     notices.splice(0..0, replaced);
 }
 
-/// Each index tells what a search of all machines and all jobs does.
+/// Checks that each index agrees with a search of all machines and all jobs.
 fn check(core: &Core) {
     let table = &core.nodes;
     let searched: Vec<MachineId> = table
@@ -66,11 +66,11 @@
         let held = |j: &Job| j.machine == Some(machine) && !j.phase.is_over();
         let searched: BTreeSet<RequestId> =
             core.jobs.iter().filter(|(_, j)| held(j)).map(|(&id, _)| id).collect();
-        assert_eq!(node.standing, searched);
+        assert_eq!(node.running, searched);
     }
 }
 
-/// One step of a drawn day.
+/// One random step.
 #[derive(Clone, Debug)]
 enum Act {
     List(ListKind, Vec<Notice>),
@@ -97,7 +97,7 @@
                 Act::List(kind, notices) => {
                     let (mut found, mut searched) = (notices.clone(), notices.clone());
                     replace_by_search(&core, &mut searched);
-                    core.replace(&mut found);
+                    core.resolve_address_conflicts(&mut found);
                     prop_assert_eq!(format!("{found:?}"), format!("{searched:?}"));
                     list(&mut core, kind, notices);
                 }
@@ -112,7 +112,7 @@
     }
 }
 
-/// Guards tasks that are told of before their machine is.
+/// Guards tasks that are reported before the list names their machine.
 #[test]
 fn a_task_of_an_unlisted_machine_is_found_once_it_is_listed() {
     let mut core = core("repeatable");
@@ -125,21 +125,21 @@
     assert!(core.nodes.unlisted.is_empty(), "nothing is kept for a machine that is listed");
 }
 
-/// Guards a planner of many machines: what a notice costs does not grow with their number, nor does what a list of
-/// all costs grow faster than it.
+/// Guards a planner with many machines: the cost of an update does not grow with their number, and the cost
+/// of a complete list grows only in proportion to it.
 #[test]
 fn a_notice_looks_at_no_machine_that_it_does_not_concern() {
     let all = |count: u32| (0..count).map(|n| notice(n, n, Standing::Ready, 0)).collect::<Vec<_>>();
     for count in [10, 1000] {
         let mut core = core("repeatable");
         list(&mut core, ListKind::Whole, all(count));
-        assert_eq!(core.nodes.looked_at.get(), 0, "the first list finds no machine");
+        assert_eq!(core.nodes.examined.get(), 0, "the first list finds no machine");
         list(&mut core, ListKind::Whole, all(count));
-        assert_eq!(core.nodes.looked_at.get(), 2 * u64::from(count), "each by its name and by its address");
-        let before = core.nodes.looked_at.get();
+        assert_eq!(core.nodes.examined.get(), 2 * u64::from(count), "each by its name and by its address");
+        let before = core.nodes.examined.get();
         list(&mut core, ListKind::Changes, vec![notice(3, 3, Standing::Draining, 0)]);
         list(&mut core, ListKind::Changes, vec![notice(4, 4, Standing::Ready, 1)]);
-        // Itself at its address, twice, and the one that drains, after each of both.
-        assert_eq!(core.nodes.looked_at.get() - before, 4, "{count} machines");
+        // Each update examines the machine itself at its address, and then the one draining machine.
+        assert_eq!(core.nodes.examined.get() - before, 4, "{count} machines");
     }
 }
--- a/src/state/machines.rs
+++ b/src/state/machines.rs
@@ -5,12 +5,12 @@
 
 /// Seconds. Time for which a draining machine that refuses connections is assumed to keep its running tasks.
 /// An end that no message reports must reach the owner within 8 s.
-const DRAIN_KEEPS_S: Seconds = 3.0;
+const DRAINING_KEEP_S: Seconds = 3.0;
 /// Count. Names of former machines that are kept before unused names are removed.
-const OLD_NAMES: usize = 64;
+const UNUSED_NAMES_KEPT: usize = 64;
 
 /// The cause code sent to a machine with the order to stop a task that counts as lost.
-pub(super) const CUT: u8 = 41;
+pub(super) const CAUSE_CUT: u8 = 41;
 
 impl Core {
     /// Assigns a new version to a machine and adds it to the history for watchers.
@@ -25,7 +25,7 @@
         }
     }
 
-    pub(super) fn list(
+    pub(super) fn apply_list(
         &mut self,
         now: Seconds,
         kind: ListKind,
@@ -37,42 +37,42 @@
             let missing = self.nodes.iter().filter(|(id, _)| !named.contains(id));
             notices.extend(missing.map(|(_, node)| gone(node)));
         }
-        self.replace(&mut notices);
+        self.resolve_address_conflicts(&mut notices);
         let restarted: Vec<(MachineId, Seconds)> =
-            notices.iter().filter_map(|n| self.notice(n, effects)).collect();
+            notices.iter().filter_map(|n| self.update_machine(n, effects)).collect();
         let entries: Vec<Entry> = notices.into_iter().map(|n| n.entry).collect();
         let gone: Vec<MachineId> =
             entries.iter().filter(|e| e.standing == Standing::Gone).map(|e| e.machine).collect();
         // The placer is informed of drains first, so that the jobs they release are not placed there again.
-        self.feed(now, Event::List { kind, entries }, effects);
+        self.feed_placer(now, Event::List { kind, entries }, effects);
         for (machine, started) in restarted {
             // The machine's process restarted: tasks that ran there before are lost.
-            self.lose(now, machine, started, effects);
+            self.lose_running_tasks(now, machine, started, effects);
             self.prove_all_gone(machine);
             // Attempts in the send queue were decided for a warm machine. Sent by all planners at once, they
             // could overload a cold one.
-            self.take_back_queued(now, machine, effects);
+            self.withdraw_queued(now, machine, effects);
         }
         for machine in gone {
-            self.depart(now, machine, effects);
+            self.begin_departure(now, machine, effects);
         }
-        self.forget_names();
+        self.prune_names();
         for machine in self.nodes.not_ready() {
-            self.take_back_queued(now, machine, effects);
+            self.withdraw_queued(now, machine, effects);
         }
     }
 
     /// Cancels the attempts that are queued for a machine, so that the placer decides again.
-    fn take_back_queued(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
-        for job in self.tried(machine, |t| !t.left) {
+    fn withdraw_queued(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
+        for job in self.open_attempts_at(machine, |t| !t.sent) {
             effects.push(Effect::GiveUp { machine, job });
-            self.trial_over(now, job, Outcome::Moot, Reason::Unknown, None, effects);
+            self.end_attempt(now, job, Outcome::Moot, Reason::Unknown, None, effects);
         }
     }
 
     /// If two machines have the same address, the one that started later owns it. The other counts as gone,
     /// although the list does not say so yet: messages for it would reach its successor.
-    pub(super) fn replace(&self, notices: &mut Vec<Notice>) {
+    pub(super) fn resolve_address_conflicts(&self, notices: &mut Vec<Notice>) {
         let mut replaced = Vec::new();
         for notice in notices.iter_mut().filter(|n| n.entry.standing != Standing::Gone) {
             let Some(other) = self.nodes.other_at(&notice.address, notice.entry.machine) else { continue };
@@ -88,17 +88,17 @@
     }
 
     /// Removes the names of machines to which nothing refers any more.
-    pub(super) fn forget_names(&mut self) {
-        if self.words.machines() > 2 * self.nodes.len() + OLD_NAMES {
+    pub(super) fn prune_names(&mut self) {
+        if self.vocabulary.machines() > 2 * self.nodes.len() + UNUSED_NAMES_KEPT {
             let of_jobs = self.jobs.values().filter_map(|j| j.machine);
             let used: BTreeSet<MachineId> = self.nodes.iter().map(|(id, _)| id).chain(of_jobs).collect();
-            self.words.keep_machines(|id| used.contains(&id));
+            self.vocabulary.keep_machines(|id| used.contains(&id));
         }
     }
 
     /// Applies the list's entry for one machine. Returns the machine's start time if it restarted under its
     /// former name.
-    pub(super) fn notice(
+    pub(super) fn update_machine(
         &mut self,
         notice: &Notice,
         effects: &mut Vec<Effect>,
@@ -130,7 +130,7 @@
     }
 
     /// Ends the tasks that have been running at a machine since before the given time, as lost.
-    pub(super) fn lose(
+    pub(super) fn lose_running_tasks(
         &mut self,
         now: Seconds,
         machine: MachineId,
@@ -139,12 +139,12 @@
     ) {
         let Some(node) = self.nodes.get(machine) else { return };
         let old = |id: &RequestId| self.jobs.get(id).is_some_and(|j| j.placed_at < before);
-        let lost: Vec<RequestId> = node.standing.iter().copied().filter(old).collect();
+        let lost: Vec<RequestId> = node.running.iter().copied().filter(old).collect();
         for job in lost {
             // If the machine is only unreachable, its copy must not run on without the owner's knowledge.
-            effects.push(Effect::Stop { machine, job, cause: CUT });
-            self.unproved(job, machine);
-            self.standing_over(now, job, Outcome::Lost, Reason::Unknown, None, effects);
+            effects.push(Effect::Stop { machine, job, cause: CAUSE_CUT });
+            self.record_possible_copy(job, machine);
+            self.end_running_task(now, job, Outcome::Lost, Reason::Unknown, None, effects);
         }
     }
 
@@ -160,8 +160,8 @@
     ) {
         let drains = self.nodes.get_mut(machine).filter(|n| n.entry().standing == Standing::Draining);
         let since = drains.map(|node| *node.refuses_since.get_or_insert(now));
-        if since.is_some_and(|since| now < since + DRAIN_KEEPS_S) && quiet_s < LOST_S {
-            return self.break_trials(now, machine, false, Reason::Unknown, effects);
+        if since.is_some_and(|since| now < since + DRAINING_KEEP_S) && quiet_s < LOST_S {
+            return self.end_attempts_at(now, machine, false, Reason::Unknown, effects);
         }
         self.machine_lost(now, machine, true, effects);
     }
@@ -175,32 +175,32 @@
         proved: bool,
         effects: &mut Vec<Effect>,
     ) {
-        self.lose(now, machine, f64::INFINITY, effects);
-        self.break_trials(now, machine, false, Reason::Unknown, effects);
+        self.lose_running_tasks(now, machine, f64::INFINITY, effects);
+        self.end_attempts_at(now, machine, false, Reason::Unknown, effects);
         if proved {
-            self.break_trials(now, machine, true, Reason::Unknown, effects);
+            self.end_attempts_at(now, machine, true, Reason::Unknown, effects);
             self.prove_all_gone(machine);
         }
     }
 
     /// Handles a machine's leaving the list: its running tasks count as lost, queued attempts never ran, and
     /// attempts that were sent are cancelled but stay open until the connection has ended.
-    fn depart(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
-        self.lose(now, machine, f64::INFINITY, effects);
-        self.break_trials(now, machine, false, Reason::Unknown, effects);
-        let jobs = self.tried(machine, |t| t.left);
+    fn begin_departure(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
+        self.lose_running_tasks(now, machine, f64::INFINITY, effects);
+        self.end_attempts_at(now, machine, false, Reason::Unknown, effects);
+        let jobs = self.open_attempts_at(machine, |t| t.sent);
         self.machine_changed(machine, ChangeKind::Deleted, effects);
         let departure = self.departures.begin(machine, jobs.iter().copied().collect());
         for &job in &jobs {
-            if let Some(trial) = self.jobs.get_mut(&job).and_then(|j| j.trial.as_mut()) {
-                trial.departure = Some(departure);
+            if let Some(open_attempt) = self.jobs.get_mut(&job).and_then(|j| j.open_attempt.as_mut()) {
+                open_attempt.departure = Some(departure);
             }
             if let Some(node) = self.nodes.get_mut(machine) {
-                node.trying.remove(&job);
+                node.open_attempts.remove(&job);
             }
         }
         for job in jobs {
-            self.give_up_left(now, job, effects);
+            self.cancel_sent_attempt(now, job, effects);
         }
         if self.nodes.remove(machine).is_some() {
             effects.push(Effect::Disconnect { machine, departure });
@@ -210,7 +210,7 @@
     }
 
     /// Handles the end of the connection to a machine that left the list; its attempts end with it.
-    pub(super) fn departed(
+    pub(super) fn end_departure(
         &mut self,
         now: Seconds,
         departure: DepartureId,
@@ -219,7 +219,7 @@
     ) {
         let Some(Departed { machine, jobs }) = self.departures.end(departure) else { return };
         for job in jobs {
-            self.departure_ended(now, job, proved, effects);
+            self.end_departed_attempt(now, job, proved, effects);
         }
         // If the machine is listed again, copies recorded there may belong to its new process.
         if !self.nodes.contains(machine) {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -9,30 +9,30 @@
 mod attempts;
 mod departures;
 mod fleet;
-mod ghosts;
 mod groups;
 mod history;
+mod interface;
 mod jobs;
 mod limits;
 mod machine_table;
 mod machines;
+mod possible_copies;
 mod shutdown;
 mod views;
-mod words;
 
 use alarms::Alarm;
 pub use departures::DepartureId;
 use departures::{Departed, Departures};
 pub use fleet::FleetView;
-use ghosts::Ghosts;
 use groups::Groups;
 pub use groups::{GroupView, MemberView};
 pub use history::{Change, ChangeKind, History, Resume};
-use jobs::{Final, Job, Trial};
-use limits::InForce;
-use machine_table::{MachineTable, Node, Stands};
+pub use interface::{Ask, Effect, GroupAsk, GroupId, Input, Keep, Notice, Owed, Owner, Phase, Refusal, Spec};
+use jobs::{FinalAnswer, Job, OpenAttempt};
+use limits::ActiveLimits;
+use machine_table::{MachineTable, Node, RunningAdded};
+use possible_copies::PossibleCopies;
 pub use views::{JobView, MachineView, Object};
-pub use words::{Ask, Effect, GroupAsk, GroupId, Input, Keep, Notice, Owed, Owner, Phase, Refusal, Spec};
 
 use crate::decide::limits::{Front, Limits, Resolved, Subject, Table, Ticket, Turned};
 use crate::placer::Effect as Effect_;
@@ -56,7 +56,7 @@
     placer: Placer,
     seed: u64,
     settings: Settings,
-    words: Vocabulary,
+    vocabulary: Vocabulary,
     jobs: BTreeMap<RequestId, Job>,
     nodes: MachineTable,
     keys: BTreeMap<(String, String), RequestId>,
@@ -69,12 +69,12 @@
     pending_bytes: usize,
     open_rest: usize,
     /// The number of the last connection check; each check has a new number.
-    asks: u64,
+    last_fence: u64,
     keep: Keep,
     history: History,
-    limits: InForce,
+    limits: ActiveLimits,
     groups: Groups,
-    ghosts: Ghosts,
+    possible_copies: PossibleCopies,
     departures: Departures,
     /// Seconds. Time by which every request is answered; infinite unless the planner is shutting down.
     answers_by: Seconds,
@@ -85,14 +85,19 @@
     ///
     /// # Errors
     /// If the settings cannot be served.
-    pub fn new(settings: Settings, words: Vocabulary, seed: u64, keep: Keep) -> Result<Self, SettingsError> {
+    pub fn new(
+        settings: Settings,
+        vocabulary: Vocabulary,
+        seed: u64,
+        keep: Keep,
+    ) -> Result<Self, SettingsError> {
         let placer = Placer::new(settings.clone(), seed)?;
-        let limits = InForce::new(Limits::new(&settings, words.classes().to_vec()));
+        let limits = ActiveLimits::new(Limits::new(&settings, vocabulary.classes().to_vec()));
         Ok(Core {
             placer,
             seed,
             settings,
-            words,
+            vocabulary,
             jobs: BTreeMap::new(),
             nodes: MachineTable::default(),
             keys: BTreeMap::new(),
@@ -102,12 +107,12 @@
             pending: 0,
             pending_bytes: 0,
             open_rest: 0,
-            asks: 0,
+            last_fence: 0,
             keep,
             history: History::new(keep.history),
             limits,
             groups: Groups::default(),
-            ghosts: Ghosts::default(),
+            possible_copies: PossibleCopies::default(),
             departures: Departures::default(),
             answers_by: f64::INFINITY,
         })
@@ -115,12 +120,12 @@
 
     /// The vocabulary that maps names of machines, zones and classes to ids.
     pub fn words(&mut self) -> &mut Vocabulary {
-        &mut self.words
+        &mut self.vocabulary
     }
 
     /// The name of a machine.
     pub fn name(&self, machine: MachineId) -> String {
-        self.words.name(machine)
+        self.vocabulary.name(machine)
     }
 
     /// The planner's random seed, new with each start.
@@ -130,12 +135,12 @@
 
     /// Whether an attempt that was sent to the machine is still open.
     pub fn is_open_at(&self, machine: MachineId) -> bool {
-        !self.tried(machine, |t| t.left).is_empty()
+        !self.open_attempts_at(machine, |t| t.sent).is_empty()
     }
 
     /// The first of the tasks that run at a machine.
     pub fn one_at(&self, machine: MachineId) -> Option<RequestId> {
-        self.nodes.get(machine).and_then(|n| n.standing.first().copied())
+        self.nodes.get(machine).and_then(|n| n.running.first().copied())
     }
 
     /// The settings.
@@ -161,14 +166,14 @@
     }
 
     /// The pending jobs of a client connection.
-    fn open_on(&self, link: u64) -> Vec<RequestId> {
+    fn pending_on(&self, link: u64) -> Vec<RequestId> {
         let open = |id: &RequestId| self.jobs.get(id).is_some_and(|j| j.phase == Phase::Pending);
         self.links.get(&link).map_or(vec![], |of| of.jobs.iter().copied().filter(open).collect())
     }
 
     /// Number of tasks that run at a machine.
     pub fn standing_at(&self, machine: MachineId) -> usize {
-        self.nodes.get(machine).map_or(0, |n| n.standing.len())
+        self.nodes.get(machine).map_or(0, |n| n.running.len())
     }
 
     /// A job, unless it was never submitted or is already forgotten.
@@ -199,69 +204,71 @@
     /// Handles one input and appends the resulting effects.
     pub fn apply(&mut self, now: Seconds, input: Input, effects: &mut Vec<Effect>) {
         let from = effects.len();
-        self.take_in(now, input, effects);
+        self.handle_input(now, input, effects);
         self.settle_groups(now, from, effects);
     }
 
-    fn take_in(&mut self, now: Seconds, input: Input, effects: &mut Vec<Effect>) {
+    fn handle_input(&mut self, now: Seconds, input: Input, effects: &mut Vec<Effect>) {
         match input {
-            Input::List { kind, notices } => self.list(now, kind, notices, effects),
+            Input::List { kind, notices } => self.apply_list(now, kind, notices, effects),
             Input::Submit(ask) => self.submit(now, ask, effects),
             Input::Adopt { ask, machine } => self.adopt(now, ask, machine, effects),
             Input::Cancel { job, cause } => self.cancel(now, job, cause, effects),
             Input::OwnerGone { link } => {
-                for job in self.open_on(link) {
+                for job in self.pending_on(link) {
                     self.cancel(now, job, 0, effects);
                 }
             }
             Input::OwnerFaulty { link } => {
-                for job in self.open_on(link) {
-                    self.take_back(now, job, Final::Failed, effects);
+                for job in self.pending_on(link) {
+                    self.withdraw(now, job, FinalAnswer::Failed, effects);
                 }
             }
             Input::Sent { job, attempt } => {
-                let trial = self.jobs.get_mut(&job).and_then(|j| j.trial.as_mut());
-                if let Some(trial) = trial.filter(|t| t.attempt == attempt) {
-                    trial.left = true;
+                let open_attempt = self.jobs.get_mut(&job).and_then(|j| j.open_attempt.as_mut());
+                if let Some(open_attempt) = open_attempt.filter(|t| t.attempt == attempt) {
+                    open_attempt.sent = true;
                 }
             }
             Input::Bound { machine, job, body } => self.bound(now, machine, job, body, effects),
             Input::SubmitGroup(ask) => self.submit_group(now, ask, effects),
-            Input::CancelGroup { group } => self.group_hears(now, group, groups::Event::Cancel, effects),
+            Input::CancelGroup { group } => self.on_group_event(now, group, groups::Event::Cancel, effects),
             Input::Draining { until } => self.shut_down(now, until, effects),
             Input::Join { plan, life } => self.join(now, &plan, life),
-            Input::Peer { from, words } => self.hear_peer(now, from, words, effects),
-            Input::LinkUp { machine } => self.cut_again(machine, effects),
+            Input::Peer { from, words } => self.handle_peer_messages(now, from, words, effects),
+            Input::LinkUp { machine } => self.resend_cuts(machine, effects),
             Input::Ended { machine, job, before, after, why, report } => {
                 self.prove_gone(job, machine);
                 let Some(known) = self.jobs.get(&job) else { return };
                 // An attempt that is still queued, or whose preceding connection check is unanswered, cannot
                 // have been answered: the message belongs to an earlier attempt.
-                if known.trial.is_some_and(|t| t.is_answered_by(machine)) {
-                    self.trial_over(now, job, before, why, report, effects);
+                if known.open_attempt.is_some_and(|t| t.is_answered_by(machine)) {
+                    self.end_attempt(now, job, before, why, report, effects);
                 } else if known.phase == Phase::Running && known.machine == Some(machine) {
-                    self.standing_over(now, job, after, why, report, effects);
+                    self.end_running_task(now, job, after, why, report, effects);
                 }
             }
-            Input::Heard { machine, ask } => self.heard(now, machine, ask, effects),
+            Input::Heard { machine, ask } => self.fence_answered(now, machine, ask, effects),
             Input::Noted { machine, job, note } => {
                 let Some(known) = self.jobs.get(&job) else { return };
-                let here =
-                    known.machine == Some(machine) || known.trial.is_some_and(|t| t.machine == machine);
+                let here = known.machine == Some(machine)
+                    || known.open_attempt.is_some_and(|t| t.machine == machine);
                 if here && known.attempts > 0 {
                     let attempt = known.attempts - 1;
-                    self.feed(now, Event::Noted { request: job, attempt, note }, effects);
+                    self.feed_placer(now, Event::Noted { request: job, attempt, note }, effects);
                 }
             }
             Input::Probed { machine, outcome, report } => {
-                self.feed(now, Event::Probed { machine, outcome, report }, effects);
+                self.feed_placer(now, Event::Probed { machine, outcome, report }, effects);
+            }
+            Input::DialFailed { machine } => {
+                self.end_attempts_at(now, machine, false, Reason::Unknown, effects)
             }
-            Input::DialFailed { machine } => self.break_trials(now, machine, false, Reason::Unknown, effects),
             Input::DialRefused { machine, quiet_s } => self.dial_refused(now, machine, quiet_s, effects),
             Input::LinkBroken { machine, proved } => self.link_broken(now, machine, proved, effects),
-            Input::Departed { departure, proved } => self.departed(now, departure, proved, effects),
+            Input::Departed { departure, proved } => self.end_departure(now, departure, proved, effects),
             Input::MachineLost { machine, proved } => self.machine_lost(now, machine, proved, effects),
-            Input::Limits { table, digest } => self.take_limits(now, table, digest),
+            Input::Limits { table, digest } => self.activate_limits(now, table, digest),
             Input::GroupSettings(settings) => self.groups.settings = settings,
             Input::LimitsRefused { why } => self.limits.refuse(now, why),
             Input::Tick => self.tick(now, effects),
@@ -269,7 +276,7 @@
     }
 
     /// Passes an event to the placer and carries out its decisions, until no further event follows from them.
-    fn feed(&mut self, now: Seconds, event: Event, effects: &mut Vec<Effect>) {
+    fn feed_placer(&mut self, now: Seconds, event: Event, effects: &mut Vec<Effect>) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
@@ -277,8 +284,10 @@
             for action in actions.drain(..) {
                 match action {
                     Action::Bind { request, machine, give_up_at } => {
-                        if let Some(moot) = self.bind(now, request, machine, give_up_at, effects) {
-                            events.push_back(moot);
+                        if let Some(forbidden) =
+                            self.start_attempt(now, request, machine, give_up_at, effects)
+                        {
+                            events.push_back(forbidden);
                         }
                     }
                     Action::Refuse { request, retry_in_s } => {
--- a/src/state/ghosts.rs
+++ b/src/state/possible_copies.rs
@@ -5,18 +5,18 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Count. Maximum number of ids kept, the newest ones, at about 100 bytes each.
-pub(super) const MOST_GHOSTS: usize = 4096;
+pub(super) const MAX_IDS: usize = 4096;
 
 /// The ids, each with the machines that may hold a copy.
 #[derive(Default)]
-pub(super) struct Ghosts {
+pub(super) struct PossibleCopies {
     machines: BTreeMap<RequestId, Vec<MachineId>>,
     order: VecDeque<RequestId>,
 }
 
-impl Ghosts {
+impl PossibleCopies {
     /// Records that a copy may run at a machine.
-    pub fn book(&mut self, job: RequestId, machine: MachineId) {
+    pub fn record(&mut self, job: RequestId, machine: MachineId) {
         let at = self.machines.entry(job).or_default();
         if at.is_empty() {
             self.order.push_back(job);
@@ -24,7 +24,7 @@
         if !at.contains(&machine) {
             at.push(machine);
         }
-        while self.order.len() > MOST_GHOSTS {
+        while self.order.len() > MAX_IDS {
             if let Some(oldest) = self.order.pop_front() {
                 self.machines.remove(&oldest);
             }
@@ -47,7 +47,7 @@
             at.retain(|other| *other != machine);
             !at.is_empty()
         });
-        let Ghosts { machines, order } = self;
+        let PossibleCopies { machines, order } = self;
         order.retain(|job| machines.contains_key(job));
     }
 
--- a/src/state/shutdown.rs
+++ b/src/state/shutdown.rs
@@ -23,21 +23,23 @@
             return;
         }
         let waits = self.jobs.iter().filter(|(_, job)| job.phase == Phase::Pending);
-        let waits: Vec<(RequestId, Final)> = waits.map(|(&id, job)| (id, last_word(job))).collect();
+        let waits: Vec<(RequestId, FinalAnswer)> =
+            waits.map(|(&id, job)| (id, final_answer_for(job))).collect();
         if !waits.is_empty() {
             effects.push(Effect::CutShort { requests: waits.len() as u64 });
         }
         for (id, last) in waits {
-            self.take_back(now, id, last, effects);
+            self.withdraw(now, id, last, effects);
         }
     }
 }
 
-fn last_word(job: &Job) -> Final {
-    let may_have_run = job.risky_since.is_some() || job.trial.is_some_and(|trial| trial.left);
+fn final_answer_for(job: &Job) -> FinalAnswer {
+    let may_have_run =
+        job.risky_since.is_some() || job.open_attempt.is_some_and(|open_attempt| open_attempt.sent);
     if may_have_run {
-        Final::Failed
+        FinalAnswer::Failed
     } else {
-        Final::Refused
+        FinalAnswer::Refused
     }
 }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -1,18 +1,18 @@
-//! The guards of the reducer, each at its edge, on a clock of the test's own.
+//! The guards of the reducer, each at its boundary, on a simulated clock.
 
-use super::jobs::{JOB_BYTES, MOST_ON_LINK};
-use super::machines::CUT;
+use super::jobs::{JOB_BYTES, MAX_PENDING_PER_LINK};
+use super::machines::CAUSE_CUT;
 use super::*;
 use crate::vocabulary;
 use serde_json::json;
 
-/// A core with machines 0 and 1, and what it asked for last.
+/// A core with a simulated clock; [`Bench::new`] adds the machines 0 and 1.
 struct Bench {
     core: Core,
     now: Seconds,
 }
 
-/// A core that knows no machine.
+/// A core without machines.
 pub(crate) fn core(idempotency: &str) -> Core {
     core_of(idempotency, "all")
 }
@@ -21,7 +21,7 @@
     core_with(idempotency, group, 6.0)
 }
 
-/// A core whose window for repeats lasts so long.
+/// A core with the given repeat window.
 fn core_within(idempotency: &str, window_s: Seconds) -> Core {
     core_with(idempotency, "all", window_s)
 }
@@ -59,7 +59,7 @@
     fn tell(&mut self, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.core.apply(self.now, input, &mut effects);
-        // What is for logs alone is not looked at here.
+        // Effects that serve only watchers and logs are not checked here.
         effects.retain(|e| !matches!(e, Effect::Changed | Effect::AttemptOver { .. }));
         effects
     }
@@ -108,7 +108,7 @@
     effects.iter().filter(is).count()
 }
 
-/// Guards against an answer to an earlier attempt that ends one which has not even been sent.
+/// Guards against an answer to an earlier attempt that ends a later attempt which was not even sent.
 #[test]
 fn what_has_not_left_cannot_be_answered() {
     let mut bench = Bench::new("repeatable");
@@ -119,7 +119,8 @@
     assert!(bench.bound(at, 1).is_empty(), "one answer, and no more");
 }
 
-/// Guards rule 3: a set-up that waits in a queue when its machine drains is taken back and goes elsewhere.
+/// Guards rule 3: an attempt that is still queued when its machine starts to drain is cancelled and goes to
+/// another machine.
 #[test]
 fn a_drain_takes_back_what_has_not_left() {
     let mut bench = Bench::new("once");
@@ -129,7 +130,8 @@
     assert_eq!(launched(&effects), Some(MachineId(1 - at.0)));
 }
 
-/// Guards rule 2: what never left never ran, so that even a task that must run once goes out again.
+/// Guards rule 2: an attempt that was never sent never ran, so that even a task of class `once` is attempted
+/// again.
 #[test]
 fn only_what_left_may_have_run() {
     for left in [false, true] {
@@ -144,7 +146,8 @@
     }
 }
 
-/// Guards rule 1: whatever becomes of it, a job has exactly one final answer, and none once its owner left.
+/// Guards rule 1: a job has exactly one final answer whatever happens to it, and none after its owner
+/// disconnected.
 #[test]
 fn one_answer_is_owed_and_given() {
     let mut bench = Bench::new("repeatable");
@@ -161,7 +164,7 @@
     assert_eq!(answers(&gone) + answers(&bench.at(120.0)), 0);
 }
 
-/// Guards owners of what stood: its end is told once, also where machine and list tell of it both.
+/// Guards owners of running tasks: the end is reported once, also if both the machine and the list report it.
 #[test]
 fn what_stood_is_released_once() {
     let mut bench = Bench::new("repeatable");
@@ -173,7 +176,8 @@
     assert!(!bench.end(at, 1, Outcome::Lost).contains(&released));
 }
 
-/// Guards keys: a retry stays in the window of its first try, and a task that was lost may be placed anew.
+/// Guards idempotency keys: a retry stays in the repeat window of its first try, and a task that was lost may
+/// be placed anew.
 #[test]
 fn a_key_keeps_its_window_over_retries() {
     let mut bench = Bench::new("by_key");
@@ -190,7 +194,7 @@
     bench.bound(again, 3);
     let lost = bench.tell(Input::MachineLost { machine: again, proved: true });
     assert!(
-        lost.contains(&Effect::Stop { machine: again, job: RequestId(3), cause: CUT }),
+        lost.contains(&Effect::Stop { machine: again, job: RequestId(3), cause: CAUSE_CUT }),
         "no copy runs on"
     );
     bench.submit(4, Some("k"));
@@ -198,7 +202,8 @@
     assert!(at.0 < 2);
 }
 
-/// Guards usual owners against one that uses an id twice: neither ask of it is served, and another's goes on.
+/// Guards clients against one that uses an id twice: neither of its two requests is served, and the job of
+/// another client with the same id continues.
 #[test]
 fn an_id_in_use_is_served_to_its_first_owner_alone() {
     for link in [1, 2] {
@@ -216,7 +221,8 @@
     }
 }
 
-/// Guards memory against tasks said to stand where nobody can tell of their end, and against any number of them.
+/// Guards memory against reported running tasks: those at unlisted machines, whose end nobody reports, and
+/// any number of others.
 #[test]
 fn what_is_said_to_stand_is_bounded() {
     let mut bench = Bench::new("repeatable");
@@ -243,7 +249,8 @@
     assert_eq!(bench.core.owed(1), Owed { open: 0, standing: 2 });
 }
 
-/// Guards those who share the planner against one connection, and its memory against all of them.
+/// Guards clients against a single connection that submits too many jobs, and memory against all connections
+/// together.
 #[test]
 fn what_waits_is_bounded() {
     let mut bench = Bench::new("repeatable");
@@ -251,14 +258,15 @@
     let busy =
         |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::Refused { why: Refusal::Busy, .. }));
     let first = (1..).find(|&job| busy(&bench.submit(job, None))).expect("an end");
-    assert_eq!(first, MOST_ON_LINK as u64 + 1);
+    assert_eq!(first, MAX_PENDING_PER_LINK as u64 + 1);
     let more = (first..).find(|&job| busy(&bench.submit(job, Some("k")))).expect("an end");
     assert_eq!(more, (1 << 20) / JOB_BYTES as u64 + 1);
     bench.tell(Input::OwnerGone { link: 1 });
     assert_eq!((bench.core.owed(1), bench.core.is_full()), (Owed::default(), false));
 }
 
-/// Guards a new machine at an old one's address: nothing more is sent to the old one, and what stood there is over.
+/// Guards a new machine at a former machine's address: nothing more is sent to the former one, and its
+/// running tasks are lost.
 #[test]
 fn an_address_has_one_machine() {
     let mut bench = Bench::new("repeatable");
@@ -272,7 +280,7 @@
     assert_eq!(launched(&bench.submit(2, None)), Some(MachineId(10)));
 }
 
-/// Guards a long day's memory: new names come for ever, and those of machines that are gone are let go.
+/// Guards memory over a long run: machine names keep changing, and the names of former machines are removed.
 #[test]
 fn names_of_gone_machines_are_let_go() {
     let mut bench = Bench::new("repeatable");
@@ -285,8 +293,8 @@
     assert_eq!(bench.core.words().machine("box-1000"), MachineId(1000));
 }
 
-/// Guards what stands at a machine that drains: it takes no new connection, such as that of a planner that has just
-/// come up, and is there all the same. One that is in service and refuses is gone.
+/// Guards the running tasks of a draining machine: it refuses new connections, such as that of a planner that
+/// has just started, while its tasks continue. A machine in service that refuses connections is gone.
 #[test]
 fn a_drain_that_refuses_connections_keeps_its_tasks() {
     for standing in [Standing::Draining, Standing::Ready] {
@@ -303,8 +311,9 @@
     }
 }
 
-/// Guards the rule of one attempt out: a give-up that a machine cut off never hears leaves the attempt out there, so
-/// that no other may follow; the machine's word on the same connection proves it heard, and only then another goes.
+/// Guards the rule of one open attempt: a machine that is cut off does not receive the cancellation, so that
+/// the attempt stays open and no other may follow. Only the machine's answer to a connection check on the
+/// same connection confirms the cancellation and allows another attempt.
 #[test]
 fn what_is_given_up_is_out_until_its_machine_is_heard() {
     for hears in [true, false] {
@@ -335,7 +344,8 @@
     }
 }
 
-/// Runs a bench on until something is sent, and tells where to, and behind which test.
+/// Advances the clock until an attempt starts; returns its machine and the number of the connection check
+/// before it.
 fn offered(bench: &mut Bench) -> Option<(MachineId, Option<u64>)> {
     (0..500).find_map(|_| {
         bench.now += 0.01;
@@ -346,8 +356,9 @@
     })
 }
 
-/// Guards the rule of one attempt out against answers that come late or twice: no answer tells an attempt's number, so
-/// that a second attempt at a machine stands behind a test, and what comes before its answer belongs to the first.
+/// Guards the rule of one open attempt against late or repeated answers: answers carry no attempt number, so
+/// that a connection check precedes a second attempt at a machine, and messages before the check's answer
+/// belong to the first.
 #[test]
 fn an_answer_to_an_earlier_attempt_is_not_taken_for_a_later_one() {
     let mut bench = Bench::new("repeatable");
@@ -369,8 +380,9 @@
     assert_eq!(answers(&bench.bound(at, 1)), 1);
 }
 
-/// Guards the same where the connection broke: what the attempt left may be told on any later connection, so that its
-/// machine gets no other of this job; nor does one that cannot be tested get a second.
+/// Guards the same if the connection broke: a message about the first attempt may arrive on any later
+/// connection, so that its machine gets no second attempt of this job. Neither does a machine that cannot be
+/// checked.
 #[test]
 fn a_machine_out_of_sight_gets_no_second_attempt() {
     for broke in [true, false] {
@@ -397,8 +409,8 @@
     );
 }
 
-/// Guards the same against an id that comes again after its job is over: while a copy of the first may run, the second is
-/// answered and not sent.
+/// Guards the same against an id that is submitted again after its job is over: while a copy of the first may
+/// run, the second is answered without being sent.
 #[test]
 fn an_id_of_which_a_copy_may_run_is_not_sent_anew() {
     let failed = Effect::Failed { owner: Owner::Link(1), job: RequestId(1) };
@@ -418,8 +430,8 @@
     }
 }
 
-/// Guards keyed work: whatever the module says, it is tried again only in the group of its first attempt that may have
-/// run, also where that one's machine has left the list.
+/// Guards keyed jobs: whatever the placer decides, a job is retried only in the place (zone or cell) of its
+/// first attempt that may have run, also if that attempt's machine has left the list.
 #[test]
 fn keyed_work_stays_in_its_group() {
     for (group, allowed) in
@@ -441,22 +453,22 @@
         add(&mut bench, &spots[..1]);
         assert_eq!(launched(&bench.submit(1, Some("k"))), Some(MachineId(0)));
         bench.sent(1, 0);
-        // Its end is kept from the module, which would go on by itself.
+        // The placer is not informed of the end, as it would start another attempt itself.
         let job = bench.core.jobs.get_mut(&RequestId(1)).expect("a job");
-        let trial = job.trial.take().expect("an attempt");
-        job.may_have_run(&trial);
-        bench.core.nodes.get_mut(MachineId(0)).expect("a machine").trying.clear();
+        let open_attempt = job.open_attempt.take().expect("an attempt");
+        job.may_have_run(&open_attempt);
+        bench.core.nodes.get_mut(MachineId(0)).expect("a machine").open_attempts.clear();
         bench.list(&[(0, Standing::Gone)]);
-        // The module hears nothing of these: what is asked is what the guard says by itself.
+        // The placer is not informed of these machines: only the guard's own decision is tested.
         for (n, allowed) in (1..).zip(allowed) {
             let mut effects = Vec::new();
             let entry = notice(&spots[n as usize]);
-            bench.core.notice(&entry, &mut effects);
-            bench.core.bind(bench.now, RequestId(1), MachineId(n), bench.now + 1.0, &mut effects);
+            bench.core.update_machine(&entry, &mut effects);
+            bench.core.start_attempt(bench.now, RequestId(1), MachineId(n), bench.now + 1.0, &mut effects);
             let out = launched(&effects).is_some();
             assert_eq!(out, allowed, "group {group}, machine {n}");
             if out {
-                bench.core.trial_over(
+                bench.core.end_attempt(
                     bench.now,
                     RequestId(1),
                     Outcome::Moot,
@@ -470,8 +482,8 @@
     }
 }
 
-/// Guards jobs against a machine that goes and comes back under its name: an answer to what it got before is not taken for
-/// one to a later attempt, elsewhere or there.
+/// Guards jobs against a machine that leaves and returns under its name: an answer to an attempt it got
+/// before is not taken for an answer to a later attempt, there or elsewhere.
 #[test]
 fn an_answer_of_a_machine_gone_and_back_is_of_its_earlier_attempt() {
     let mut bench = Bench::new("repeatable");
@@ -492,7 +504,7 @@
 }
 
 impl Bench {
-    /// A machine of that name comes up, or comes up anew, at that time.
+    /// Lists a machine that started, or restarted, at the given time.
     fn started(&mut self, n: u32, started: Seconds) -> Vec<Effect> {
         let (machine, key) = (MachineId(n), MachineKey(u64::from(n)));
         let (zone, cell, free) = (ZoneId(0), CellId(0), Room { cores: 9.0, memory: 18.0 });
@@ -511,8 +523,8 @@
     effects.iter().find_map(of)
 }
 
-/// Guards clients of a connection of which nothing more can be heard: what they asked before has its one answer, and what
-/// stands stays.
+/// Guards clients of a connection that can no longer be read: their pending jobs get one answer each, and
+/// their running tasks continue.
 #[test]
 fn what_is_open_on_a_faulty_connection_is_answered() {
     let mut bench = Bench::new("repeatable");
@@ -528,8 +540,8 @@
     assert_eq!((bench.core.pending(), bench.core.standing_at(stands)), (0, 1));
 }
 
-/// Guards rule 2: a further attempt that still waits in a queue when the window for repeats ends is taken back at that
-/// time, and not sent after it.
+/// Guards rule 2: a further attempt that is still queued when the repeat window ends is cancelled at that
+/// time, and not sent afterwards.
 #[test]
 fn a_further_attempt_does_not_leave_after_its_window() {
     let mut bench = Bench { core: core_within("by_key", 2.0), now: 100.0 };
@@ -544,7 +556,7 @@
     let ended = bench.at(102.0);
     assert_eq!(taken_back(&ended, 1), Some(again));
     assert_eq!((answers(&ended), launched(&ended)), (1, None), "it has its answer at once");
-    // What has left by then may be answered as long as its owner waits.
+    // An attempt that was sent by then may be answered as long as its owner waits.
     let mut bench = Bench { core: core_within("by_key", 2.0), now: 100.0 };
     bench.list(&[(0, Standing::Ready), (1, Standing::Ready)]);
     let first = launched(&bench.submit(1, Some("k"))).expect("a launch");
@@ -557,8 +569,8 @@
     assert_eq!(answers(&bench.bound(again, 1)), 1);
 }
 
-/// Guards cold machines against planners' queues: what was decided for a warm machine and has not left is decided anew
-/// once it is known to have come up again.
+/// Guards cold machines against the planners' send queues: attempts that were decided for a warm machine and
+/// not sent yet are decided again once the machine is known to have restarted.
 #[test]
 fn what_waits_for_a_machine_that_restarts_is_decided_anew() {
     let mut bench = Bench { core: core("repeatable"), now: 100.0 };
@@ -567,14 +579,15 @@
     assert_eq!(taken_back(&bench.started(0, 99.5), 1), Some(MachineId(0)));
 }
 
-/// Guards cold machines against parts of two windows that leave at once: an attempt for a cold machine that cannot leave
-/// within the quarter of a window by which the module's are longer is taken back; one for a warm machine waits on.
+/// Guards cold machines against the shares of two windows that are sent at once: the placer's windows are
+/// longer by a quarter, and an attempt for a cold machine that cannot be sent within that quarter is
+/// cancelled. One for a warm machine stays queued.
 #[test]
 fn an_attempt_for_a_cold_machine_does_not_wait_past_its_part() {
     for (started, waits) in [(10.0, true), (99.0, false)] {
         let mut bench = Bench { core: core("repeatable"), now: 100.0 };
         bench.started(0, started);
-        // The module sends a cold machine nothing in its own first window.
+        // The placer sends a cold machine nothing in its first window.
         bench.now = 104.0;
         assert_eq!(launched(&bench.submit(1, None)), Some(MachineId(0)));
         assert_eq!(taken_back(&bench.at(104.49), 1), None);
@@ -582,8 +595,8 @@
     }
 }
 
-/// Guards what must not be repeated: a machine that only counts as lost may still hold what left for it, whose connection is
-/// up; its time-out ends it, or its connection.
+/// Guards tasks that must not be repeated: a machine that only counts as lost may still hold attempts, whose
+/// connection is working. Such an attempt ends by its time-out or with its connection.
 #[test]
 fn a_machine_that_counts_as_lost_ends_no_attempt_that_is_out_there() {
     let mut bench = Bench::new("repeatable");
@@ -601,8 +614,9 @@
     effects.iter().find_map(of)
 }
 
-/// Guards what must not be repeated: an attempt at a machine that left the list, or on a connection that ended, goes elsewhere
-/// once its machine is known to have given it up, and is answered without another attempt where that is never known.
+/// Guards tasks that must not be repeated: an attempt at a machine that left the list, or on a connection
+/// that ended, goes elsewhere once its machine is known to have abandoned it. If that is never known, the job
+/// is answered without another attempt.
 #[test]
 fn what_nobody_proved_given_up_is_answered_and_not_sent_again() {
     for leaves in [true, false] {
@@ -623,8 +637,8 @@
     }
 }
 
-/// Guards clients whose request is out at a machine that left and never ends its connection: they have their answer within
-/// the time for a proof, and before their deadline.
+/// Guards clients with an attempt open at a machine that left the list and never closes its connection: they
+/// are answered within the confirmation time-out, and before their deadline.
 #[test]
 fn what_is_out_at_a_machine_that_left_is_answered_in_time() {
     for (left_at, answered_by) in [(100.0, 101.0), (104.5, 105.0)] {
@@ -632,7 +646,7 @@
         let at = launched(&bench.submit(1, None)).expect("a launch");
         bench.sent(1, 0);
         bench.now = left_at;
-        // Its own time-out may have come before.
+        // The attempt's own time-out may have passed before.
         let gone = bench.list(&[(at.0, Standing::Gone)]);
         let ended = bench.at(answered_by);
         assert_eq!((answers(&gone) + answers(&ended), launched(&ended)), (1, None), "left at {left_at}");
--- a/src/state/views.rs
+++ b/src/state/views.rs
@@ -63,7 +63,7 @@
             spec: job.spec.clone(),
             room: job.task.room,
             phase: job.phase,
-            machine: job.machine.map(|m| self.words.name(m)),
+            machine: job.machine.map(|m| self.vocabulary.name(m)),
             attempts: job.attempts,
             deadline: job.task.deadline,
             last: job.last,
@@ -76,8 +76,8 @@
     pub(super) fn machine_view(&self, id: MachineId, node: &Node) -> MachineView {
         let entry = node.entry();
         MachineView {
-            name: self.words.name(id),
-            zone: self.words.zone_name(entry.zone),
+            name: self.vocabulary.name(id),
+            zone: self.vocabulary.zone_name(entry.zone),
             cell: entry.cell,
             standing: entry.standing,
             free: entry.free,
