--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -372,7 +372,7 @@
                 }
             }
         }
-        self.end_attempts_at(now, machine, true, Reason::Broken, effects);
+        self.end_attempts(now, machine, true, Reason::Broken, effects);
     }
 
     pub(super) fn cancel_open_attempt(
@@ -402,7 +402,7 @@
     }
 
     /// Ends the attempts at a machine that were sent, or those that are still queued.
-    pub(super) fn end_attempts_at(
+    pub(super) fn end_attempts(
         &mut self,
         now: Seconds,
         machine: MachineId,
--- a/src/state/groups/tests.rs
+++ b/src/state/groups/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::decide::groups::{OnLoss, Phase as GroupPhase, Policy};
-use crate::state::limits::tests::core as core_of_three;
+use crate::state::limits::tests::core as core_with_three_classes;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -25,13 +25,13 @@
 
 /// A simulated event.
 #[derive(Clone, Debug)]
-enum Happens {
-    Arrives(u32, u64, Message),
-    Starts(u32, RequestId),
-    Ends(u32, RequestId),
-    Says(u32, u64, RequestId, Option<Outcome>),
-    Up(u32),
-    Wakes(u32),
+enum SimEvent {
+    Arrive(u32, u64, Message),
+    Start(u32, RequestId),
+    End(u32, RequestId),
+    Reply(u32, u64, RequestId, Option<Outcome>),
+    Reconnect(u32),
+    Resumes(u32),
 }
 
 /// A simulated machine.
@@ -45,48 +45,48 @@
     /// Copies, and whether each is running.
     copies: BTreeMap<RequestId, bool>,
     /// Messages that wait for a connection: stop orders first, then attempts.
-    kept: Vec<Message>,
+    waiting: Vec<Message>,
 }
 
 /// One run of a copy, as the machine sees it: group, member, start and end.
-type Life = (GroupId, usize, Seconds, Seconds);
+type CopyRun = (GroupId, usize, Seconds, Seconds);
 
-struct World {
+struct Simulation {
     core: Core,
     now: Seconds,
     rng: Pcg64Mcg,
-    queue: BTreeMap<(u64, u64), Happens>,
+    queue: BTreeMap<(u64, u64), SimEvent>,
     next: u64,
     machines: Vec<Machine>,
-    refuse: f64,
-    fail: f64,
+    refuse_share: f64,
+    fail_share: f64,
     runs: BTreeMap<RequestId, (u32, Seconds)>,
-    lives: Vec<Life>,
+    copy_runs: Vec<CopyRun>,
     open: BTreeSet<GroupId>,
     answers: BTreeMap<GroupId, Answer>,
     owners: BTreeMap<RequestId, (GroupId, usize)>,
 }
 
-impl World {
-    fn new(seed: u64, machines: u32) -> World {
-        let mut world = World {
-            core: core_of_three(),
+impl Simulation {
+    fn new(seed: u64, machines: u32) -> Simulation {
+        let mut sim = Simulation {
+            core: core_with_three_classes(),
             now: 100.0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             queue: BTreeMap::new(),
             next: 0,
             machines: (0..machines).map(|_| Machine { up: true, ..Machine::default() }).collect(),
-            refuse: 0.0,
-            fail: 0.0,
+            refuse_share: 0.0,
+            fail_share: 0.0,
             runs: BTreeMap::new(),
-            lives: Vec::new(),
+            copy_runs: Vec::new(),
             open: BTreeSet::new(),
             answers: BTreeMap::new(),
             owners: BTreeMap::new(),
         };
         let all: Vec<(u32, Standing)> = (0..machines).map(|n| (n, Standing::Ready)).collect();
-        world.list(&all);
-        world
+        sim.list(&all);
+        sim
     }
 
     fn list(&mut self, all: &[(u32, Standing)]) {
@@ -100,15 +100,15 @@
             let entry = Entry { machine, key, zone, cell, kind: Some(0), standing, free, started };
             Notice { entry, address: format!("a:{n}") }
         };
-        self.tell(Input::List { kind: ListKind::Changes, notices: all.iter().map(notice).collect() });
+        self.apply_input(Input::List { kind: ListKind::Changes, notices: all.iter().map(notice).collect() });
     }
 
-    fn later(&mut self, after: Seconds, happens: Happens) {
+    fn schedule(&mut self, after: Seconds, handle: SimEvent) {
         self.next += 1;
-        self.queue.insert((((self.now + after) * 1e6) as u64, self.next), happens);
+        self.queue.insert((((self.now + after) * 1e6) as u64, self.next), handle);
     }
 
-    fn tell(&mut self, input: Input) {
+    fn apply_input(&mut self, input: Input) {
         let mut effects = Vec::new();
         self.core.apply(self.now, input, &mut effects);
         for effect in effects {
@@ -121,10 +121,10 @@
                 }
                 Effect::GiveUp { machine, job } => {
                     let of = |m: &Message| matches!(m, Message::Launch(j, _) if *j == job);
-                    let kept = &mut self.machines[machine.0 as usize].kept;
-                    let before = kept.len();
-                    kept.retain(|m| !of(m));
-                    if kept.len() == before && self.machines[machine.0 as usize].up {
+                    let waiting = &mut self.machines[machine.0 as usize].waiting;
+                    let before = waiting.len();
+                    waiting.retain(|m| !of(m));
+                    if waiting.len() == before && self.machines[machine.0 as usize].up {
                         self.send(machine.0, Message::Stop(job));
                     }
                 }
@@ -143,17 +143,17 @@
     fn send(&mut self, at: u32, message: Message) {
         let machine = &mut self.machines[at as usize];
         if !machine.up {
-            return machine.kept.push(message);
+            return machine.waiting.push(message);
         }
         let link = machine.link;
         if let Message::Launch(job, attempt) = message {
-            self.later(0.001, Happens::Arrives(at, link, message));
-            return self.tell(Input::Sent { job, attempt });
+            self.schedule(0.001, SimEvent::Arrive(at, link, message));
+            return self.apply_input(Input::Sent { job, attempt });
         }
-        self.later(0.001, Happens::Arrives(at, link, message));
+        self.schedule(0.001, SimEvent::Arrive(at, link, message));
     }
 
-    fn died_or_reset(&mut self, at: u32, dies: bool) {
+    fn break_connection(&mut self, at: u32, dies: bool) {
         let machine = &mut self.machines[at as usize];
         machine.link += 1;
         (machine.up, machine.inbox) = (false, Vec::new());
@@ -161,29 +161,29 @@
         // died.
         let gone: Vec<RequestId> =
             machine.copies.iter().filter(|(_, runs)| dies || !**runs).map(|(&job, _)| job).collect();
-        gone.into_iter().for_each(|job| self.over(at, job));
-        self.tell(Input::LinkBroken { machine: MachineId(at), proved: true });
+        gone.into_iter().for_each(|job| self.end_copy(at, job));
+        self.apply_input(Input::LinkBroken { machine: MachineId(at), proved: true });
         if dies {
-            self.machines[at as usize].kept.clear();
-            self.tell(Input::MachineLost { machine: MachineId(at), proved: true });
+            self.machines[at as usize].waiting.clear();
+            self.apply_input(Input::MachineLost { machine: MachineId(at), proved: true });
         }
-        self.later(0.05, Happens::Up(at));
+        self.schedule(0.05, SimEvent::Reconnect(at));
     }
 
     /// Ends a copy and records its run.
-    fn over(&mut self, at: u32, job: RequestId) {
+    fn end_copy(&mut self, at: u32, job: RequestId) {
         self.machines[at as usize].copies.remove(&job);
         if let (Some((_, from)), Some(&(group, member))) = (self.runs.remove(&job), self.owners.get(&job)) {
-            self.lives.push((group, member, from, self.now));
+            self.copy_runs.push((group, member, from, self.now));
         }
     }
 
-    fn says(&mut self, at: u32, job: RequestId, what: Option<Outcome>) {
+    fn reply(&mut self, at: u32, job: RequestId, what: Option<Outcome>) {
         let link = self.machines[at as usize].link;
-        self.later(0.001, Happens::Says(at, link, job, what));
+        self.schedule(0.001, SimEvent::Reply(at, link, job, what));
     }
 
-    fn arrives(&mut self, at: u32, link: u64, message: Message) {
+    fn receive(&mut self, at: u32, link: u64, message: Message) {
         let machine = &mut self.machines[at as usize];
         if machine.link != link {
             return;
@@ -194,51 +194,51 @@
         match message {
             Message::Launch(job, _) => {
                 let drawn = self.rng.gen::<f64>();
-                if drawn < self.refuse {
-                    return self.says(at, job, Some(Outcome::Full));
+                if drawn < self.refuse_share {
+                    return self.reply(at, job, Some(Outcome::Full));
                 }
-                if drawn < self.refuse + self.fail {
-                    return self.says(at, job, Some(Outcome::Error));
+                if drawn < self.refuse_share + self.fail_share {
+                    return self.reply(at, job, Some(Outcome::Error));
                 }
                 self.machines[at as usize].copies.insert(job, false);
                 let after = self.rng.gen_range(0.005..0.1);
-                self.later(after, Happens::Starts(at, job));
+                self.schedule(after, SimEvent::Start(at, job));
             }
             Message::Stop(job) => {
                 let held = machine.copies.contains_key(&job);
-                self.over(at, job);
-                self.says(at, job, Some(if held { Outcome::Cancelled } else { Outcome::Moot }));
+                self.end_copy(at, job);
+                self.reply(at, job, Some(if held { Outcome::Cancelled } else { Outcome::Moot }));
             }
         }
     }
 
-    fn happens(&mut self, happens: Happens) {
-        match happens {
-            Happens::Arrives(at, link, message) => self.arrives(at, link, message),
-            Happens::Starts(at, job) => {
+    fn handle(&mut self, handle: SimEvent) {
+        match handle {
+            SimEvent::Arrive(at, link, message) => self.receive(at, link, message),
+            SimEvent::Start(at, job) => {
                 if let Some(runs) = self.machines[at as usize].copies.get_mut(&job) {
                     *runs = true;
                     self.runs.insert(job, (at, self.now));
-                    self.says(at, job, None);
+                    self.reply(at, job, None);
                     let life = self.rng.gen_range(1.0..3.0);
-                    self.later(life, Happens::Ends(at, job));
+                    self.schedule(life, SimEvent::End(at, job));
                 }
             }
-            Happens::Ends(at, job) => {
+            SimEvent::End(at, job) => {
                 if self.machines[at as usize].copies.contains_key(&job) {
-                    self.over(at, job);
-                    self.says(at, job, Some(Outcome::Ok));
+                    self.end_copy(at, job);
+                    self.reply(at, job, Some(Outcome::Ok));
                 }
             }
-            Happens::Says(at, link, job, what) => {
+            SimEvent::Reply(at, link, job, what) => {
                 let machine = &self.machines[at as usize];
                 if machine.link != link || machine.hangs {
                     return;
                 }
                 let id = MachineId(at);
                 match what {
-                    None => self.tell(Input::Bound { machine: id, job, body: String::new() }),
-                    Some(outcome) => self.tell(Input::Ended {
+                    None => self.apply_input(Input::Bound { machine: id, job, body: String::new() }),
+                    Some(outcome) => self.apply_input(Input::Ended {
                         machine: id,
                         job,
                         before: outcome,
@@ -248,18 +248,18 @@
                     }),
                 }
             }
-            Happens::Up(at) => {
+            SimEvent::Reconnect(at) => {
                 self.machines[at as usize].up = true;
-                self.tell(Input::LinkUp { machine: MachineId(at) });
-                let mut kept = std::mem::take(&mut self.machines[at as usize].kept);
-                kept.sort_by_key(|m| matches!(m, Message::Launch(..)));
-                kept.into_iter().for_each(|message| self.send(at, message));
+                self.apply_input(Input::LinkUp { machine: MachineId(at) });
+                let mut waiting = std::mem::take(&mut self.machines[at as usize].waiting);
+                waiting.sort_by_key(|m| matches!(m, Message::Launch(..)));
+                waiting.into_iter().for_each(|message| self.send(at, message));
             }
-            Happens::Wakes(at) => {
+            SimEvent::Resumes(at) => {
                 let machine = &mut self.machines[at as usize];
                 machine.hangs = false;
                 let inbox = std::mem::take(&mut machine.inbox);
-                inbox.into_iter().for_each(|(link, message)| self.arrives(at, link, message));
+                inbox.into_iter().for_each(|(link, message)| self.receive(at, link, message));
             }
         }
     }
@@ -276,12 +276,12 @@
             // due.
             self.now = self.now.max(due as f64 / 1e6 + 2e-6);
             match self.queue.pop_first() {
-                Some((key, happens)) if key.0 <= due => self.happens(happens),
-                Some((key, happens)) => {
-                    self.queue.insert(key, happens);
-                    self.tell(Input::Tick);
+                Some((key, handle)) if key.0 <= due => self.handle(handle),
+                Some((key, handle)) => {
+                    self.queue.insert(key, handle);
+                    self.apply_input(Input::Tick);
                 }
-                None => self.tell(Input::Tick),
+                None => self.apply_input(Input::Tick),
             }
         }
         self.now = until;
@@ -303,7 +303,15 @@
         let (group, members) = (GroupId(id), (0..members).map(member).collect());
         self.open.insert(group);
         let (share, key, digest) = (1.0, Some(format!("g{id}")), 0);
-        self.tell(Input::SubmitGroup(GroupAsk { group, members, deadline, policy, share, key, digest }));
+        self.apply_input(Input::SubmitGroup(GroupAsk {
+            group,
+            members,
+            deadline,
+            policy,
+            share,
+            key,
+            digest,
+        }));
         group
     }
 
@@ -317,7 +325,7 @@
         let mut all = Vec::new();
         for (&group, &size) in sizes {
             let mut changes: Vec<(Seconds, bool, usize)> = Vec::new();
-            for &(_, member, from, until) in self.lives.iter().filter(|l| l.0 == group) {
+            for &(_, member, from, until) in self.copy_runs.iter().filter(|l| l.0 == group) {
                 changes.extend([(from, true, member), (until, false, member)]);
             }
             changes.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -347,110 +355,110 @@
 fn no_partial_group_outlives_a_second() {
     for seed in 1..=6 {
         let hangs = seed % 2 == 0;
-        let mut world = World::new(seed, 8);
-        (world.refuse, world.fail) = (0.01, 0.005);
+        let mut sim = Simulation::new(seed, 8);
+        (sim.refuse_share, sim.fail_share) = (0.01, 0.005);
         let mut sizes = BTreeMap::new();
         for turn in 1..=300 {
-            let members = world.rng.gen_range(2..=32);
-            let id = world.group(turn, members, 1.0, [OnLoss::Keep, OnLoss::Cut][turn as usize % 2]);
+            let members = sim.rng.gen_range(2..=32);
+            let id = sim.group(turn, members, 1.0, [OnLoss::Keep, OnLoss::Cut][turn as usize % 2]);
             sizes.insert(id, members);
-            let at = world.rng.gen_range(0..8);
-            match world.rng.gen_range(0..12) {
-                0 => world.died_or_reset(at, false),
-                1 => world.died_or_reset(at, true),
+            let at = sim.rng.gen_range(0..8);
+            match sim.rng.gen_range(0..12) {
+                0 => sim.break_connection(at, false),
+                1 => sim.break_connection(at, true),
                 2 if hangs => {
-                    world.machines[at as usize].hangs = true;
-                    world.later(0.4, Happens::Wakes(at));
+                    sim.machines[at as usize].hangs = true;
+                    sim.schedule(0.4, SimEvent::Resumes(at));
                 }
-                3 => world.list(&[(at, Standing::Draining)]),
-                4 => world.list(&[(at, Standing::Ready)]),
+                3 => sim.list(&[(at, Standing::Draining)]),
+                4 => sim.list(&[(at, Standing::Ready)]),
                 _ => {}
             }
-            world.run(0.25);
+            sim.run(0.25);
         }
-        (world.refuse, world.fail) = (0.0, 0.0);
-        world.run(20.0);
-        let partial = world.partial(&sizes);
+        (sim.refuse_share, sim.fail_share) = (0.0, 0.0);
+        sim.run(20.0);
+        let partial = sim.partial(&sizes);
         let greatest = partial.iter().copied().fold(0.0, f64::max);
         // A stop order waits at a hanging machine, here for up to 0.4 s.
         let most = if hangs { 1.4 } else { 1.0 };
         assert!(greatest <= most, "seed {seed}: {greatest} s");
         assert!(partial.len() > 200, "seed {seed}: {} times", partial.len());
-        assert_eq!(world.answers.len(), 300, "seed {seed}: every group has its answer");
-        assert_eq!(world.core.pending(), 0);
-        assert_eq!(world.core.groups.pending_cuts.len(), 0, "seed {seed}: all copies are proved gone");
-        assert!(world.machines.iter().all(|m| m.copies.is_empty()), "seed {seed}: nothing runs on");
+        assert_eq!(sim.answers.len(), 300, "seed {seed}: every group has its answer");
+        assert_eq!(sim.core.pending(), 0);
+        assert_eq!(sim.core.groups.pending_cuts.len(), 0, "seed {seed}: all copies are proved gone");
+        assert!(sim.machines.iter().all(|m| m.copies.is_empty()), "seed {seed}: no copy keeps running");
     }
 }
 
 /// Guards groups that fit alone but not together: of 200 submitted at once each is placed or refused
 /// completely, and none is stopped after being placed in part.
 #[test]
-fn competing_groups_do_not_block_each_other_in_halves() {
-    let mut world = World::new(3, 2);
+fn competing_groups_are_placed_completely_or_refused() {
+    let mut sim = Simulation::new(3, 2);
     for id in 1..=200 {
-        world.group(id, 10, 6.0, OnLoss::Keep);
+        sim.group(id, 10, 6.0, OnLoss::Keep);
     }
-    world.run(0.5);
-    let answers: Vec<Answer> = world.answers.values().copied().collect();
+    sim.run(0.5);
+    let answers: Vec<Answer> = sim.answers.values().copied().collect();
     let placed = answers.iter().filter(|a| **a == Answer::Placed).count();
     assert_eq!(placed, 3, "two machines of 100 cores take three groups of 60");
     let refused =
         |a: &&Answer| matches!(a, Answer::Refused { why: Why::NoRoom, retry_in_s } if *retry_in_s > 0.0);
-    assert_eq!(answers.iter().filter(refused).count(), 197, "at once, with when to come back");
-    assert!(world.lives.is_empty(), "nothing was cut");
+    assert_eq!(answers.iter().filter(refused).count(), 197, "refused at once, with a retry delay");
+    assert!(sim.copy_runs.is_empty(), "no member was stopped");
 }
 
 /// Guards against sending members of a group that is larger than the fleet: it is refused before that, as no
 /// retry can help.
 #[test]
 fn a_group_larger_than_the_fleet_is_turned_away() {
-    let mut world = World::new(1, 2);
-    let id = world.group(1, 9, 30.0, OnLoss::Keep);
-    assert!(matches!(world.view(id).answer, Some(Answer::Refused { why: Why::NoRoom, .. })));
-    assert!(world.owners.is_empty(), "nothing was sent");
+    let mut sim = Simulation::new(1, 2);
+    let id = sim.group(1, 9, 30.0, OnLoss::Keep);
+    assert!(matches!(sim.view(id).answer, Some(Answer::Refused { why: Why::NoRoom, .. })));
+    assert!(sim.owners.is_empty(), "nothing was sent");
 }
 
 /// Guards the answer of a group against a machine that hangs with some of its members: the answer does not
 /// wait for the machine, its copies are shown as unreachable, and they are stopped first when the machine
 /// resumes.
 #[test]
-fn a_machine_that_hangs_is_cut_when_it_wakes() {
-    let mut world = World::new(5, 2);
-    let id = world.group(1, 6, 1.0, OnLoss::Keep);
-    world.run(0.02);
-    world.machines[0].hangs = true;
-    world.run(1.3);
-    let view = world.view(id);
+fn a_hanging_machine_stops_its_copies_when_it_resumes() {
+    let mut sim = Simulation::new(5, 2);
+    let id = sim.group(1, 6, 1.0, OnLoss::Keep);
+    sim.run(0.02);
+    sim.machines[0].hangs = true;
+    sim.run(1.3);
+    let view = sim.view(id);
     assert!(matches!(view.answer, Some(Answer::Failed { .. })), "{view:?}");
     let unreachable: Vec<usize> = (0..6).filter(|&at| !view.members[at].unreachable.is_empty()).collect();
     assert!(!unreachable.is_empty());
     assert_eq!(view.phase, GroupPhase::Over);
     // The connection is reset meanwhile: messages in flight are lost and sent again.
-    world.died_or_reset(0, false);
-    world.run(0.2);
-    world.happens(Happens::Wakes(0));
-    world.run(0.1);
-    assert!(world.machines[0].copies.is_empty(), "{:?}", world.machines[0].copies);
-    assert!(world.view(id).members.iter().all(|m| m.unreachable.is_empty()));
+    sim.break_connection(0, false);
+    sim.run(0.2);
+    sim.handle(SimEvent::Resumes(0));
+    sim.run(0.1);
+    assert!(sim.machines[0].copies.is_empty(), "{:?}", sim.machines[0].copies);
+    assert!(sim.view(id).members.iter().all(|m| m.unreachable.is_empty()));
 }
 
 /// Guards owners and operators: a cancelled group, or a planner that shuts down, leaves no copies behind.
 #[test]
-fn a_cancel_and_a_stop_leave_nothing() {
+fn a_cancel_and_a_shutdown_leave_no_copies() {
     for stop in [false, true] {
-        let mut world = World::new(9, 2);
-        let id = world.group(1, 8, 1.0, OnLoss::Keep);
-        world.run(0.03);
-        world.tell(if stop {
+        let mut sim = Simulation::new(9, 2);
+        let id = sim.group(1, 8, 1.0, OnLoss::Keep);
+        sim.run(0.03);
+        sim.apply_input(if stop {
             Input::Draining { until: f64::INFINITY }
         } else {
             Input::CancelGroup { group: id }
         });
-        world.run(0.2);
-        assert!(matches!(world.view(id).answer, Some(Answer::Refused { .. })), "{:?}", world.view(id));
-        assert!(world.machines.iter().all(|m| m.copies.is_empty()));
-        assert_eq!(world.core.pending(), 0);
+        sim.run(0.2);
+        assert!(matches!(sim.view(id).answer, Some(Answer::Refused { .. })), "{:?}", sim.view(id));
+        assert!(sim.machines.iter().all(|m| m.copies.is_empty()));
+        assert_eq!(sim.core.pending(), 0);
     }
 }
 
@@ -458,18 +466,17 @@
 #[test]
 fn a_lost_member_is_replaced_or_ends_the_group() {
     for on_loss in [OnLoss::Replace, OnLoss::Cut] {
-        let mut world = World::new(11, 3);
-        let id = world.group(1, 3, 1.0, on_loss);
-        world.run(0.2);
-        assert_eq!(world.view(id).answer, Some(Answer::Placed));
-        let at =
-            world.view(id).members[0].job.and_then(|job| world.core.job(job)?.machine).expect("a machine");
-        world.died_or_reset(at.0, true);
-        world.run(0.3);
-        let standing = world.machines.iter().map(|m| m.copies.len()).sum::<usize>();
+        let mut sim = Simulation::new(11, 3);
+        let id = sim.group(1, 3, 1.0, on_loss);
+        sim.run(0.2);
+        assert_eq!(sim.view(id).answer, Some(Answer::Placed));
+        let at = sim.view(id).members[0].job.and_then(|job| sim.core.job(job)?.machine).expect("a machine");
+        sim.break_connection(at.0, true);
+        sim.run(0.3);
+        let standing = sim.machines.iter().map(|m| m.copies.len()).sum::<usize>();
         match on_loss {
-            OnLoss::Replace => assert_eq!((world.view(id).phase, standing), (GroupPhase::Standing, 3)),
-            _ => assert_eq!((world.view(id).phase, standing), (GroupPhase::Over, 0)),
+            OnLoss::Replace => assert_eq!((sim.view(id).phase, standing), (GroupPhase::Standing, 3)),
+            _ => assert_eq!((sim.view(id).phase, standing), (GroupPhase::Over, 0)),
         }
     }
 }
@@ -478,36 +485,39 @@
 /// proved gone, within the member's repeat window, and no two copies run at a time.
 #[test]
 fn a_keyed_member_is_tried_again_in_its_window() {
-    let mut world = World::new(13, 2);
-    world.fail = 1.0;
-    let id = world.group(1, 3, 1.0, OnLoss::Keep);
-    world.run(0.01);
-    world.fail = 0.0;
+    let mut sim = Simulation::new(13, 2);
+    sim.fail_share = 1.0;
+    let id = sim.group(1, 3, 1.0, OnLoss::Keep);
+    sim.run(0.01);
+    sim.fail_share = 0.0;
     // A refused member is retried after one second.
-    world.run(1.2);
-    let view = world.view(id);
+    sim.run(1.2);
+    let view = sim.view(id);
     assert_eq!((view.answer, view.tries), (Some(Answer::Placed), 2), "{view:?}");
-    let keyed = view.members[2].job.and_then(|job| world.core.job(job)).expect("a job");
-    assert!(keyed.risky_since.is_some_and(|since| since < 100.02), "it stays in the window of its first try");
-    assert!(world.partial(&BTreeMap::from([(id, 3)])).iter().all(|time| *time <= 1.0));
+    let keyed = view.members[2].job.and_then(|job| sim.core.job(job)).expect("a job");
+    assert!(
+        keyed.risky_since.is_some_and(|since| since < 100.02),
+        "it keeps the repeat window of its first attempt"
+    );
+    assert!(sim.partial(&BTreeMap::from([(id, 3)])).iter().all(|time| *time <= 1.0));
 }
 
 /// Guards owners and machines: a machine that went silent and returns cold at its address holds no copies,
 /// and gets no stop orders for earlier ones.
 #[test]
-fn a_machine_that_comes_back_cold_holds_nothing() {
-    let mut world = World::new(5, 2);
-    let id = world.group(1, 6, 1.0, OnLoss::Keep);
-    world.run(0.02);
-    world.machines[0].hangs = true;
-    world.run(1.3);
-    assert!(world.view(id).members.iter().any(|m| !m.unreachable.is_empty()));
-    world.died_or_reset(0, false);
-    let started = world.now;
-    world.machines[0].copies.clear();
-    world.list_started(&[(0, Standing::Ready)], started);
-    assert!(world.view(id).members.iter().all(|m| m.unreachable.is_empty()), "its process came up anew");
+fn a_machine_that_returns_cold_holds_no_copies() {
+    let mut sim = Simulation::new(5, 2);
+    let id = sim.group(1, 6, 1.0, OnLoss::Keep);
+    sim.run(0.02);
+    sim.machines[0].hangs = true;
+    sim.run(1.3);
+    assert!(sim.view(id).members.iter().any(|m| !m.unreachable.is_empty()));
+    sim.break_connection(0, false);
+    let started = sim.now;
+    sim.machines[0].copies.clear();
+    sim.list_started(&[(0, Standing::Ready)], started);
+    assert!(sim.view(id).members.iter().all(|m| m.unreachable.is_empty()), "its process restarted");
     let mut effects = Vec::new();
-    world.core.apply(world.now, Input::LinkUp { machine: MachineId(0) }, &mut effects);
+    sim.core.apply(sim.now, Input::LinkUp { machine: MachineId(0) }, &mut effects);
     assert!(!effects.iter().any(|e| matches!(e, Effect::Stop { .. })), "{effects:?}");
 }
--- a/src/state/history/tests.rs
+++ b/src/state/history/tests.rs
@@ -5,7 +5,7 @@
 
 /// Guards against a watcher that resumes just past the end of the history and silently misses a change.
 #[test]
-fn a_version_is_resumed_whole_or_not_at_all() {
+fn a_version_is_resumed_without_gaps_or_not_at_all() {
     let mut history = History::new(3);
     for version in 1..=5 {
         let view = MachineView {
--- a/src/state/limits/tests.rs
+++ b/src/state/limits/tests.rs
@@ -33,13 +33,13 @@
 }
 
 /// The auditor's record of a job.
-struct Entry {
+struct Record {
     limits: Resolved,
     asked_at: Seconds,
     deadline: Seconds,
     class: usize,
     launches: usize,
-    out: Option<(MachineId, AttemptNo)>,
+    open: Option<(MachineId, AttemptNo)>,
     risky_since: Option<Seconds>,
     sent: bool,
     sent_at: Seconds,
@@ -50,14 +50,14 @@
 struct Audit {
     core: Core,
     now: Seconds,
-    jobs: BTreeMap<RequestId, Entry>,
+    jobs: BTreeMap<RequestId, Record>,
     next: u64,
 }
 
 impl Audit {
     fn new(model: Model) -> Audit {
         let mut audit = Audit { core: core(), now: 100.0, jobs: BTreeMap::new(), next: 1 };
-        audit.file(model);
+        audit.load_file(model);
         let notice = |n: u32| {
             let (machine, key) = (MachineId(n), MachineKey(u64::from(n)));
             let (zone, cell, free) = (ZoneId(0), CellId(0), Room { cores: 90.0, memory: 180.0 });
@@ -73,16 +73,16 @@
             };
             Notice { entry, address: format!("a:{n}") }
         };
-        audit.tell(Input::List { kind: ListKind::Persisted, notices: (0..3).map(notice).collect() });
+        audit.handle(Input::List { kind: ListKind::Persisted, notices: (0..3).map(notice).collect() });
         audit
     }
 
-    fn file(&mut self, model: Model) {
+    fn load_file(&mut self, model: Model) {
         let table = Arc::new(Table::new(model, self.core.settings(), Some("hall-a")));
-        self.tell(Input::Limits { table, digest: String::new() });
+        self.handle(Input::Limits { table, digest: String::new() });
     }
 
-    fn tell(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let mut effects = Vec::new();
         self.core.apply(self.now, input, &mut effects);
         effects.iter().for_each(|effect| self.audit(effect));
@@ -92,35 +92,35 @@
         let now = self.now;
         match effect {
             Effect::Launch { machine, job, attempt, left_s, .. } => {
-                let entry = self.jobs.get_mut(job).expect("a job that was handed in");
-                assert_eq!(entry.out, None, "two attempts out together");
-                assert_eq!(entry.answers, 0, "an attempt after the answer");
-                entry.launches += 1;
-                let of = &entry.limits.task;
-                assert!(entry.launches <= of.attempts.min(4), "{} attempts", entry.launches);
+                let record = self.jobs.get_mut(job).expect("a submitted job");
+                assert_eq!(record.open, None, "two attempts open at the same time");
+                assert_eq!(record.answers, 0, "an attempt after the answer");
+                record.launches += 1;
+                let of = &record.limits.task;
+                assert!(record.launches <= of.attempts.min(4), "{} attempts", record.launches);
                 assert!(*left_s <= of.attempt_s + 1e-6, "an attempt of {left_s} s");
-                let end = entry.deadline.min(entry.asked_at + entry.limits.total_s);
-                assert!(now + left_s <= end + 1e-6, "an attempt beyond its job's time");
-                if let Some(since) = entry.risky_since {
+                let end = record.deadline.min(record.asked_at + record.limits.total_s);
+                assert!(now + left_s <= end + 1e-6, "an attempt beyond its job's deadline");
+                if let Some(since) = record.risky_since {
                     assert!(of.copies, "a second copy");
-                    assert_ne!(entry.class, 2, "a second copy of what must run once");
+                    assert_ne!(record.class, 2, "a second copy of a task of class once");
                     assert!(
-                        entry.class != 1 || now < since + of.window_s,
+                        record.class != 1 || now < since + of.window_s,
                         "{} s after the first",
                         now - since
                     );
                 }
-                (entry.out, entry.sent, entry.sent_at) = (Some((*machine, *attempt)), false, now);
+                (record.open, record.sent, record.sent_at) = (Some((*machine, *attempt)), false, now);
             }
-            Effect::GiveUp { job, .. } => self.ended(*job, true),
+            Effect::GiveUp { job, .. } => self.end_attempt(*job, true),
             Effect::Placed { job, .. } | Effect::Failed { job, .. } | Effect::Refused { job, .. } => {
-                let entry = self.jobs.get_mut(job).expect("a job that was handed in");
-                entry.answers += 1;
-                assert_eq!(entry.answers, 1, "one final answer");
+                let record = self.jobs.get_mut(job).expect("a submitted job");
+                record.answers += 1;
+                assert_eq!(record.answers, 1, "one final answer");
                 if let Effect::Refused { why: Refusal::Limit(_), retry_in_s, .. } = effect {
-                    assert!(*retry_in_s > 0.0, "when to come back");
+                    assert!(*retry_in_s > 0.0, "a retry delay");
                 }
-                let end = entry.deadline.min(entry.asked_at + entry.limits.total_s);
+                let end = record.deadline.min(record.asked_at + record.limits.total_s);
                 assert!(now <= end + LATE_S, "answered {} s late", now - end);
             }
             _ => {}
@@ -128,10 +128,10 @@
     }
 
     /// Records the end of an attempt, which may have run if it was sent and `may_have_run` is set.
-    fn ended(&mut self, job: RequestId, may_have_run: bool) {
-        let Some(entry) = self.jobs.get_mut(&job) else { return };
-        if entry.out.take().is_some() && may_have_run && entry.sent {
-            entry.risky_since = entry.risky_since.or(Some(entry.sent_at));
+    fn end_attempt(&mut self, job: RequestId, may_have_run: bool) {
+        let Some(record) = self.jobs.get_mut(&job) else { return };
+        if record.open.take().is_some() && may_have_run && record.sent {
+            record.risky_since = record.risky_since.or(Some(record.sent_at));
         }
     }
 
@@ -160,27 +160,27 @@
         let (class_name, service) = (CLASSES[class].to_string(), service.to_string());
         let spec = Spec { class: class_name, service, key, ..Spec::default() };
         let (asked_at, launches, risky_since) = (self.now, 0, None);
-        let entry = Entry {
+        let record = Record {
             limits,
             asked_at,
             deadline,
             class,
             launches,
-            out: None,
+            open: None,
             risky_since,
             sent: false,
             sent_at: 0.0,
             answers: 0,
         };
-        self.jobs.insert(job, entry);
-        self.tell(Input::Submit(Ask { job, owner, spec: Arc::new(spec), task }));
+        self.jobs.insert(job, record);
+        self.handle(Input::Submit(Ask { job, owner, spec: Arc::new(spec), task }));
     }
 
     /// The open attempt with the lowest job id, or the one `skip` places after it.
-    fn out(&self, skip: usize) -> Option<(RequestId, MachineId, AttemptNo, bool)> {
-        let out =
-            |(id, e): (&RequestId, &Entry)| e.out.map(|(machine, attempt)| (*id, machine, attempt, e.sent));
-        let all: Vec<_> = self.jobs.iter().filter_map(out).collect();
+    fn open(&self, skip: usize) -> Option<(RequestId, MachineId, AttemptNo, bool)> {
+        let open =
+            |(id, e): (&RequestId, &Record)| e.open.map(|(machine, attempt)| (*id, machine, attempt, e.sent));
+        let all: Vec<_> = self.jobs.iter().filter_map(open).collect();
         all.get(skip.checked_rem(all.len())?).copied()
     }
 
@@ -193,28 +193,28 @@
             }
             4..=6 => {
                 self.now += argument as f64 % 400.0 / 1e3;
-                self.tell(Input::Tick);
+                self.handle(Input::Tick);
             }
             7..=9 => {
-                if let Some((job, _, attempt, false)) = self.out(argument) {
-                    if let Some(entry) = self.jobs.get_mut(&job) {
-                        entry.sent = true;
+                if let Some((job, _, attempt, false)) = self.open(argument) {
+                    if let Some(record) = self.jobs.get_mut(&job) {
+                        record.sent = true;
                     }
-                    self.tell(Input::Sent { job, attempt });
+                    self.handle(Input::Sent { job, attempt });
                 }
             }
             10..=13 => {
-                let Some((job, machine, _, true)) = self.out(argument) else { return };
+                let Some((job, machine, _, true)) = self.open(argument) else { return };
                 if argument % 5 == 4 {
-                    if let Some(entry) = self.jobs.get_mut(&job) {
-                        entry.out = None;
+                    if let Some(record) = self.jobs.get_mut(&job) {
+                        record.open = None;
                     }
-                    return self.tell(Input::Bound { machine, job, body: String::new() });
+                    return self.handle(Input::Bound { machine, job, body: String::new() });
                 }
                 let before = [Outcome::Full, Outcome::Full, Outcome::Error, Outcome::Lost][argument % 4];
-                self.ended(job, !before.never_ran());
+                self.end_attempt(job, !before.never_ran());
                 let (after, why) = (Outcome::Ok, Reason::LineFull);
-                self.tell(Input::Ended { machine, job, before, after, why, report: None });
+                self.handle(Input::Ended { machine, job, before, after, why, report: None });
             }
             14 => {
                 let machine = MachineId(argument as u32 % 3);
@@ -222,13 +222,13 @@
                 let hit: Vec<RequestId> = self
                     .jobs
                     .iter()
-                    .filter(|(_, e)| e.sent && e.out.is_some_and(|(at, _)| at == machine))
+                    .filter(|(_, e)| e.sent && e.open.is_some_and(|(at, _)| at == machine))
                     .map(|(id, _)| *id)
                     .collect();
-                hit.into_iter().for_each(|job| self.ended(job, true));
-                self.tell(Input::LinkBroken { machine, proved: true });
+                hit.into_iter().for_each(|job| self.end_attempt(job, true));
+                self.handle(Input::LinkBroken { machine, proved: true });
             }
-            _ => self.tell(Input::Cancel { job: RequestId(1 + argument as u64 % self.next), cause: 16 }),
+            _ => self.handle(Input::Cancel { job: RequestId(1 + argument as u64 % self.next), cause: 16 }),
         }
     }
 }
@@ -245,19 +245,19 @@
         let mut second = Some(second);
         for (number, (kind, argument)) in steps.into_iter().enumerate() {
             if number == at {
-                audit.file(second.take().expect("once"));
+                audit.load_file(second.take().expect("once"));
             }
             audit.step(kind, argument);
         }
         // After all deadlines nothing is pending, and no budget is held.
         for _ in 0..80 {
             audit.now += 0.1;
-            audit.tell(Input::Tick);
+            audit.handle(Input::Tick);
         }
         prop_assert_eq!(audit.core.pending(), 0);
         let now = audit.now;
         for reading in audit.core.limits_view(now).readings {
-            prop_assert_eq!(reading.in_flight, 0, "{} is held at {}", reading.in_flight, reading.name);
+            prop_assert_eq!(reading.in_flight, 0, "{} in flight at {}", reading.in_flight, reading.name);
         }
     }
 }
@@ -281,11 +281,11 @@
 /// Guards owners: a job whose retry budget is exhausted is answered at once, not after a pause and not near
 /// the deadline.
 #[test]
-fn a_spent_budget_answers_at_once() {
+fn an_exhausted_budget_answers_at_once() {
     let budget = Some(crate::decide::limits::Budget { share: 0.0, floor: 0 });
     let mut audit = audit(figures(crate::decide::limits::Figures { budget, ..Default::default() }));
     audit.submit(0, "a", true);
-    let (job, machine, attempt, _) = audit.out(0).expect("a launch");
+    let (job, machine, attempt, _) = audit.open(0).expect("a launch");
     audit.core.apply(audit.now, Input::Sent { job, attempt }, &mut Vec::new());
     let mut effects = Vec::new();
     let ended = Input::Ended {
@@ -297,10 +297,10 @@
         report: None,
     };
     audit.core.apply(audit.now, ended, &mut effects);
-    let told = refusals(&effects);
-    assert_eq!(told.len(), 1, "{effects:?}");
-    assert_eq!(told[0].0, Refusal::Limit(Why::RetryBudget));
-    assert!(told[0].1 > 5.0, "and when the budget has room again: {told:?}");
+    let refused = refusals(&effects);
+    assert_eq!(refused.len(), 1, "{effects:?}");
+    assert_eq!(refused[0].0, Refusal::Limit(Why::RetryBudget));
+    assert!(refused[0].1 > 5.0, "the retry delay lasts until the budget has room: {refused:?}");
     assert_eq!(audit.core.job_view_of(job).expect("a job").phase, Phase::Refused);
 }
 
@@ -316,20 +316,20 @@
     };
     let mut audit = audit(of(3));
     audit.submit(0, "a", false);
-    audit.file(of(1));
+    audit.load_file(of(1));
     audit.submit(0, "a", false);
     for _ in 0..60 {
         audit.now += 0.05;
         for skip in 0..2 {
-            if let Some((job, machine, attempt, _)) = audit.out(skip) {
+            if let Some((job, machine, attempt, _)) = audit.open(skip) {
                 audit.jobs.get_mut(&job).expect("a job").sent = true;
-                audit.tell(Input::Sent { job, attempt });
-                audit.ended(job, false);
+                audit.handle(Input::Sent { job, attempt });
+                audit.end_attempt(job, false);
                 let (before, after, why) = (Outcome::Full, Outcome::Ok, Reason::LineFull);
-                audit.tell(Input::Ended { machine, job, before, after, why, report: None });
+                audit.handle(Input::Ended { machine, job, before, after, why, report: None });
             }
         }
-        audit.tell(Input::Tick);
+        audit.handle(Input::Tick);
     }
     let launches: Vec<usize> = audit.jobs.values().map(|e| e.launches).collect();
     assert_eq!(launches, [3, 1]);
@@ -338,7 +338,7 @@
 
 /// Guards memory over many reloads while jobs come and go.
 #[test]
-fn endless_reloads_keep_nothing() {
+fn reloads_leak_no_gauges() {
     let mut audit = audit(Model::default());
     for n in 0..500 {
         let matching = crate::decide::limits::Matching {
@@ -352,15 +352,15 @@
         let figures = crate::decide::limits::Figures { in_flight: Some(5), ..Default::default() };
         let route = crate::decide::limits::Route { name: format!("r{n}").into(), matching, figures };
         let classes = vec![Default::default(); 3];
-        audit.file(Model { default: Default::default(), classes, routes: vec![route] });
+        audit.load_file(Model { default: Default::default(), classes, routes: vec![route] });
         audit.submit(0, "a", false);
         audit.now += 0.1;
-        audit.tell(Input::Tick);
+        audit.handle(Input::Tick);
         assert!(audit.core.gauges_kept() < 100, "{}", audit.core.gauges_kept());
     }
     for _ in 0..100 {
         audit.now += 0.1;
-        audit.tell(Input::Tick);
+        audit.handle(Input::Tick);
     }
     assert_eq!(audit.core.gauges_kept(), 1);
 }
@@ -368,24 +368,24 @@
 /// Guards a keyed job whose first attempt may have run against a file that shortens its repeat window: the
 /// job keeps its own, and only later jobs have the shorter one.
 #[test]
-fn a_window_that_shrinks_holds_for_later_jobs_alone() {
+fn a_shorter_window_applies_only_to_later_jobs() {
     let of =
         |window_s| figures(crate::decide::limits::Figures { window_s: Some(window_s), ..Default::default() });
     let mut audit = audit(of(6.0));
     for (launches, file) in [(2, Some(of(0.5))), (1, None)] {
         audit.submit(1, "a", true);
-        let (job, machine, attempt, _) = audit.out(0).expect("a launch");
+        let (job, machine, attempt, _) = audit.open(0).expect("a launch");
         audit.jobs.get_mut(&job).expect("a job").sent = true;
-        audit.tell(Input::Sent { job, attempt });
+        audit.handle(Input::Sent { job, attempt });
         if let Some(file) = file {
-            audit.file(file);
+            audit.load_file(file);
         }
         audit.now += 1.0;
-        audit.ended(job, true);
+        audit.end_attempt(job, true);
         let (before, after, why) = (Outcome::Error, Outcome::Ok, Reason::Unknown);
-        audit.tell(Input::Ended { machine, job, before, after, why, report: None });
-        assert_eq!(audit.jobs[&job].launches, launches, "a second after the first");
-        audit.tell(Input::Cancel { job, cause: 16 });
-        audit.ended(job, true);
+        audit.handle(Input::Ended { machine, job, before, after, why, report: None });
+        assert_eq!(audit.jobs[&job].launches, launches, "attempts one second after the first");
+        audit.handle(Input::Cancel { job, cause: 16 });
+        audit.end_attempt(job, true);
     }
 }
--- a/src/state/machine_table.rs
+++ b/src/state/machine_table.rs
@@ -7,7 +7,7 @@
 //! - A running job is recorded at its machine, or among the jobs whose machine the list has not named
 //!   (`a_task_of_an_unlisted_machine_is_found_once_it_is_listed`).
 //! - The number of machines examined for one update does not grow with the number of machines
-//!   (`a_notice_looks_at_no_machine_that_it_does_not_concern`).
+//!   (`an_update_examines_only_the_machines_concerned`).
 
 use super::jobs::Location;
 use super::*;
--- a/src/state/machine_table/tests.rs
+++ b/src/state/machine_table/tests.rs
@@ -46,7 +46,7 @@
 }
 
 /// Checks that each index agrees with a search of all machines and all jobs.
-fn check(core: &Core) {
+fn check_indexes(core: &Core) {
     let table = &core.nodes;
     let searched: Vec<MachineId> = table
         .nodes
@@ -72,42 +72,42 @@
 
 /// One random step.
 #[derive(Clone, Debug)]
-enum Act {
+enum Step {
     List(ListKind, Vec<Notice>),
     Adopt(u64, u32),
     Cancel(u64),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn step() -> impl Strategy<Value = Step> {
     let standing =
         prop_oneof![3 => Just(Standing::Ready), 1 => Just(Standing::Draining), 1 => Just(Standing::Gone)];
     let one = (0u32..8, 0u32..5, standing, 0u32..3).prop_map(|(m, a, s, t)| notice(m, a, s, t));
     let kind = prop_oneof![3 => Just(ListKind::Changes), 1 => Just(ListKind::Whole)];
-    let lists = (kind, proptest::collection::vec(one, 0..6)).prop_map(|(kind, list)| Act::List(kind, list));
-    let adopts = (1u64..6, 0u32..8).prop_map(|(job, machine)| Act::Adopt(job, machine));
-    prop_oneof![3 => lists, 2 => adopts, 1 => (1u64..6).prop_map(Act::Cancel)]
+    let lists = (kind, proptest::collection::vec(one, 0..6)).prop_map(|(kind, list)| Step::List(kind, list));
+    let adopts = (1u64..6, 0u32..8).prop_map(|(job, machine)| Step::Adopt(job, machine));
+    prop_oneof![3 => lists, 2 => adopts, 1 => (1u64..6).prop_map(Step::Cancel)]
 }
 
 proptest! {
     #[test]
-    fn the_indexes_tell_what_a_plain_search_does(acts in proptest::collection::vec(act(), 0..40)) {
+    fn the_indexes_tell_what_a_plain_search_does(steps in proptest::collection::vec(step(), 0..40)) {
         let mut core = core("repeatable");
-        for act in acts {
-            match act {
-                Act::List(kind, notices) => {
+        for step in steps {
+            match step {
+                Step::List(kind, notices) => {
                     let (mut found, mut searched) = (notices.clone(), notices.clone());
                     replace_by_search(&core, &mut searched);
                     core.resolve_address_conflicts(&mut found);
                     prop_assert_eq!(format!("{found:?}"), format!("{searched:?}"));
                     list(&mut core, kind, notices);
                 }
-                Act::Adopt(job, machine) => adopt(&mut core, job, machine),
-                Act::Cancel(job) => {
+                Step::Adopt(job, machine) => adopt(&mut core, job, machine),
+                Step::Cancel(job) => {
                     let cancel = Input::Cancel { job: RequestId(job), cause: 0 };
                     core.apply(100.0, cancel, &mut Vec::new());
                 }
             }
-            check(&core);
+            check_indexes(&core);
         }
     }
 }
@@ -122,20 +122,24 @@
     list(&mut core, ListKind::Changes, vec![notice(7, 0, Standing::Ready, 0)]);
     assert_eq!(core.standing_at(MachineId(7)), 1);
     assert_eq!(core.one_at(MachineId(7)), Some(RequestId(1)));
-    assert!(core.nodes.unlisted.is_empty(), "nothing is kept for a machine that is listed");
+    assert!(core.nodes.unlisted.is_empty(), "no entry stays for a listed machine");
 }
 
 /// Guards a planner with many machines: the cost of an update does not grow with their number, and the cost
 /// of a complete list grows only in proportion to it.
 #[test]
-fn a_notice_looks_at_no_machine_that_it_does_not_concern() {
+fn an_update_examines_only_the_machines_concerned() {
     let all = |count: u32| (0..count).map(|n| notice(n, n, Standing::Ready, 0)).collect::<Vec<_>>();
     for count in [10, 1000] {
         let mut core = core("repeatable");
         list(&mut core, ListKind::Whole, all(count));
         assert_eq!(core.nodes.examined.get(), 0, "the first list finds no machine");
         list(&mut core, ListKind::Whole, all(count));
-        assert_eq!(core.nodes.examined.get(), 2 * u64::from(count), "each by its name and by its address");
+        assert_eq!(
+            core.nodes.examined.get(),
+            2 * u64::from(count),
+            "each machine by its id and by its address"
+        );
         let before = core.nodes.examined.get();
         list(&mut core, ListKind::Changes, vec![notice(3, 3, Standing::Draining, 0)]);
         list(&mut core, ListKind::Changes, vec![notice(4, 4, Standing::Ready, 1)]);
--- a/src/state/machines.rs
+++ b/src/state/machines.rs
@@ -161,7 +161,7 @@
         let drains = self.nodes.get_mut(machine).filter(|n| n.entry().standing == Standing::Draining);
         let since = drains.map(|node| *node.refuses_since.get_or_insert(now));
         if since.is_some_and(|since| now < since + DRAINING_KEEP_S) && quiet_s < LOST_S {
-            return self.end_attempts_at(now, machine, false, Reason::Unknown, effects);
+            return self.end_attempts(now, machine, false, Reason::Unknown, effects);
         }
         self.machine_lost(now, machine, true, effects);
     }
@@ -176,9 +176,9 @@
         effects: &mut Vec<Effect>,
     ) {
         self.lose_running_tasks(now, machine, f64::INFINITY, effects);
-        self.end_attempts_at(now, machine, false, Reason::Unknown, effects);
+        self.end_attempts(now, machine, false, Reason::Unknown, effects);
         if proved {
-            self.end_attempts_at(now, machine, true, Reason::Unknown, effects);
+            self.end_attempts(now, machine, true, Reason::Unknown, effects);
             self.prove_all_gone(machine);
         }
     }
@@ -187,7 +187,7 @@
     /// attempts that were sent are cancelled but stay open until the connection has ended.
     fn begin_departure(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
         self.lose_running_tasks(now, machine, f64::INFINITY, effects);
-        self.end_attempts_at(now, machine, false, Reason::Unknown, effects);
+        self.end_attempts(now, machine, false, Reason::Unknown, effects);
         let jobs = self.open_attempts_at(machine, |t| t.sent);
         self.machine_changed(machine, ChangeKind::Deleted, effects);
         let departure = self.departures.begin(machine, jobs.iter().copied().collect());
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -261,9 +261,7 @@
             Input::Probed { machine, outcome, report } => {
                 self.feed_placer(now, Event::Probed { machine, outcome, report }, effects);
             }
-            Input::DialFailed { machine } => {
-                self.end_attempts_at(now, machine, false, Reason::Unknown, effects)
-            }
+            Input::DialFailed { machine } => self.end_attempts(now, machine, false, Reason::Unknown, effects),
             Input::DialRefused { machine, quiet_s } => self.dial_refused(now, machine, quiet_s, effects),
             Input::LinkBroken { machine, proved } => self.link_broken(now, machine, proved, effects),
             Input::Departed { departure, proved } => self.end_departure(now, departure, proved, effects),
--- a/src/state/possible_copies/tests.rs
+++ b/src/state/possible_copies/tests.rs
@@ -2,7 +2,7 @@
 
 /// Guards memory against any number of ids: only the newest are kept.
 #[test]
-fn the_newest_are_remembered() {
+fn only_the_newest_ids_are_kept() {
     let mut possible_copies = PossibleCopies::default();
     let last = 3 * MAX_IDS as u64;
     for job in 1..=last {
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -14,15 +14,15 @@
 
 /// A core without machines.
 pub(crate) fn core(idempotency: &str) -> Core {
-    core_of(idempotency, "all")
+    core_in_place(idempotency, "all")
 }
 
-fn core_of(idempotency: &str, group: &str) -> Core {
+fn core_in_place(idempotency: &str, group: &str) -> Core {
     core_with(idempotency, group, 6.0)
 }
 
 /// A core with the given repeat window.
-fn core_within(idempotency: &str, window_s: Seconds) -> Core {
+fn core_with_window(idempotency: &str, window_s: Seconds) -> Core {
     core_with(idempotency, "all", window_s)
 }
 
@@ -53,10 +53,13 @@
             let entry = Entry { machine, key, zone, cell, kind: Some(0), standing, free, started: 0.0 };
             Notice { entry, address: format!("a:{}", n % 10) }
         };
-        self.tell(Input::List { kind: ListKind::Changes, notices: machines.iter().map(notice).collect() })
+        self.apply_input(Input::List {
+            kind: ListKind::Changes,
+            notices: machines.iter().map(notice).collect(),
+        })
     }
 
-    fn tell(&mut self, input: Input) -> Vec<Effect> {
+    fn apply_input(&mut self, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.core.apply(self.now, input, &mut effects);
         // Effects that serve only watchers and logs are not checked here.
@@ -64,9 +67,9 @@
         effects
     }
 
-    fn at(&mut self, now: Seconds) -> Vec<Effect> {
+    fn tick_at(&mut self, now: Seconds) -> Vec<Effect> {
         self.now = now;
-        self.tell(Input::Tick)
+        self.apply_input(Input::Tick)
     }
 
     fn submit(&mut self, job: u64, key: Option<&str>) -> Vec<Effect> {
@@ -81,20 +84,20 @@
         };
         let spec = Spec { class: "c".into(), key: key.map(str::to_string), ..Spec::default() };
         let owner = if key.is_some() { Owner::Rest } else { Owner::Link(1) };
-        self.tell(Input::Submit(Ask { job: RequestId(job), owner, spec: Arc::new(spec), task }))
+        self.apply_input(Input::Submit(Ask { job: RequestId(job), owner, spec: Arc::new(spec), task }))
     }
 
     fn sent(&mut self, job: u64, attempt: AttemptNo) {
-        self.tell(Input::Sent { job: RequestId(job), attempt });
+        self.apply_input(Input::Sent { job: RequestId(job), attempt });
     }
 
     fn end(&mut self, machine: MachineId, job: u64, before: Outcome) -> Vec<Effect> {
         let (after, why) = (Outcome::Ok, Reason::LineFull);
-        self.tell(Input::Ended { machine, job: RequestId(job), before, after, why, report: None })
+        self.apply_input(Input::Ended { machine, job: RequestId(job), before, after, why, report: None })
     }
 
     fn bound(&mut self, machine: MachineId, job: u64) -> Vec<Effect> {
-        self.tell(Input::Bound { machine, job: RequestId(job), body: String::new() })
+        self.apply_input(Input::Bound { machine, job: RequestId(job), body: String::new() })
     }
 }
 
@@ -110,19 +113,19 @@
 
 /// Guards against an answer to an earlier attempt that ends a later attempt which was not even sent.
 #[test]
-fn what_has_not_left_cannot_be_answered() {
+fn an_unsent_attempt_cannot_be_answered() {
     let mut bench = Bench::new("repeatable");
     let at = launched(&bench.submit(1, None)).expect("a launch");
     assert!(bench.bound(at, 1).is_empty() && bench.end(at, 1, Outcome::Full).is_empty());
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     assert_eq!(answers(&bench.bound(at, 1)), 1);
-    assert!(bench.bound(at, 1).is_empty(), "one answer, and no more");
+    assert!(bench.bound(at, 1).is_empty(), "exactly one answer");
 }
 
 /// Guards rule 3: an attempt that is still queued when its machine starts to drain is cancelled and goes to
 /// another machine.
 #[test]
-fn a_drain_takes_back_what_has_not_left() {
+fn a_drain_cancels_queued_attempts() {
     let mut bench = Bench::new("once");
     let at = launched(&bench.submit(1, None)).expect("a launch");
     let effects = bench.list(&[(at.0, Standing::Draining)]);
@@ -133,14 +136,14 @@
 /// Guards rule 2: an attempt that was never sent never ran, so that even a task of class `once` is attempted
 /// again.
 #[test]
-fn only_what_left_may_have_run() {
+fn only_a_sent_attempt_may_have_run() {
     for left in [false, true] {
         let mut bench = Bench::new("once");
         let at = launched(&bench.submit(1, None)).expect("a launch");
         if left {
-            bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+            bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
         }
-        let effects = bench.tell(Input::MachineLost { machine: at, proved: true });
+        let effects = bench.apply_input(Input::MachineLost { machine: at, proved: true });
         assert_eq!(launched(&effects).is_some(), !left);
         assert_eq!(effects.contains(&Effect::Failed { owner: Owner::Link(1), job: RequestId(1) }), left);
     }
@@ -149,27 +152,27 @@
 /// Guards rule 1: a job has exactly one final answer whatever happens to it, and none after its owner
 /// disconnected.
 #[test]
-fn one_answer_is_owed_and_given() {
+fn a_job_has_exactly_one_answer() {
     let mut bench = Bench::new("repeatable");
     let mut effects = bench.submit(1, None);
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     for tenth in 1..=60 {
-        effects.extend(bench.at(100.0 + f64::from(tenth) / 10.0));
+        effects.extend(bench.tick_at(100.0 + f64::from(tenth) / 10.0));
     }
     assert_eq!(answers(&effects), 1);
     assert_eq!(bench.core.pending(), 0);
     let at = launched(&bench.submit(2, None)).expect("a launch");
-    let gone = bench.tell(Input::OwnerGone { link: 1 });
+    let gone = bench.apply_input(Input::OwnerGone { link: 1 });
     assert!(gone.contains(&Effect::GiveUp { machine: at, job: RequestId(2) }));
-    assert_eq!(answers(&gone) + answers(&bench.at(120.0)), 0);
+    assert_eq!(answers(&gone) + answers(&bench.tick_at(120.0)), 0);
 }
 
 /// Guards owners of running tasks: the end is reported once, also if both the machine and the list report it.
 #[test]
-fn what_stood_is_released_once() {
+fn the_end_of_a_running_task_is_reported_once() {
     let mut bench = Bench::new("repeatable");
     let at = launched(&bench.submit(1, None)).expect("a launch");
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     bench.bound(at, 1);
     let released = Effect::Released { owner: Owner::Link(1), job: RequestId(1), outcome: Outcome::Lost };
     assert!(bench.list(&[(at.0, Standing::Gone)]).contains(&released));
@@ -182,20 +185,20 @@
 fn a_key_keeps_its_window_over_retries() {
     let mut bench = Bench::new("by_key");
     let at = launched(&bench.submit(1, Some("k"))).expect("a launch");
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     bench.now = 104.0;
-    bench.tell(Input::Cancel { job: RequestId(1), cause: 16 });
+    bench.apply_input(Input::Cancel { job: RequestId(1), cause: 16 });
     bench.submit(2, Some("k"));
     assert_eq!(bench.core.job(RequestId(2)).expect("a job").risky_since, Some(100.0));
-    bench.tell(Input::Cancel { job: RequestId(2), cause: 16 });
+    bench.apply_input(Input::Cancel { job: RequestId(2), cause: 16 });
     bench.now = 107.0;
-    let again = launched(&bench.submit(3, Some("k"))).expect("a placing of its own");
-    bench.tell(Input::Sent { job: RequestId(3), attempt: 0 });
+    let again = launched(&bench.submit(3, Some("k"))).expect("a placement of its own");
+    bench.apply_input(Input::Sent { job: RequestId(3), attempt: 0 });
     bench.bound(again, 3);
-    let lost = bench.tell(Input::MachineLost { machine: again, proved: true });
+    let lost = bench.apply_input(Input::MachineLost { machine: again, proved: true });
     assert!(
         lost.contains(&Effect::Stop { machine: again, job: RequestId(3), cause: CAUSE_CUT }),
-        "no copy runs on"
+        "no copy keeps running"
     );
     bench.submit(4, Some("k"));
     assert_eq!(bench.core.job(RequestId(4)).expect("a job").risky_since, None);
@@ -209,11 +212,11 @@
     for link in [1, 2] {
         let mut bench = Bench::new("repeatable");
         let at = launched(&bench.submit(1, None)).expect("a launch");
-        bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+        bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
         let spec = Arc::new(Spec { class: "c".into(), ..Spec::default() });
         let task = bench.core.job(RequestId(1)).expect("a job").task;
         let twice =
-            bench.tell(Input::Submit(Ask { job: RequestId(1), owner: Owner::Link(link), spec, task }));
+            bench.apply_input(Input::Submit(Ask { job: RequestId(1), owner: Owner::Link(link), spec, task }));
         assert!(twice.contains(&Effect::Expel { link }));
         let first_ended = link == 1;
         assert_eq!(twice.contains(&Effect::Failed { owner: Owner::Link(1), job: RequestId(1) }), first_ended);
@@ -224,7 +227,7 @@
 /// Guards memory against reported running tasks: those at unlisted machines, whose end nobody reports, and
 /// any number of others.
 #[test]
-fn what_is_said_to_stand_is_bounded() {
+fn adopted_tasks_are_bounded() {
     let mut bench = Bench::new("repeatable");
     let adopt = |bench: &mut Bench, job: u64, machine: u32| {
         let task = Task {
@@ -238,30 +241,30 @@
         };
         let spec = Arc::new(Spec { class: "c".into(), ..Spec::default() });
         let ask = Ask { job: RequestId(job), owner: Owner::Link(1), spec, task };
-        bench.tell(Input::Adopt { ask, machine: MachineId(machine) })
+        bench.apply_input(Input::Adopt { ask, machine: MachineId(machine) })
     };
     let lost = |job| Effect::Released { owner: Owner::Link(1), job: RequestId(job), outcome: Outcome::Lost };
     adopt(&mut bench, 1, 0);
     adopt(&mut bench, 2, 99);
     adopt(&mut bench, 3, 1);
     assert_eq!(adopt(&mut bench, 4, 1), [lost(4)]);
-    assert_eq!(bench.at(103.0), [lost(2)]);
+    assert_eq!(bench.tick_at(103.0), [lost(2)]);
     assert_eq!(bench.core.owed(1), Owed { open: 0, standing: 2 });
 }
 
 /// Guards clients against a single connection that submits too many jobs, and memory against all connections
 /// together.
 #[test]
-fn what_waits_is_bounded() {
+fn pending_jobs_are_bounded() {
     let mut bench = Bench::new("repeatable");
     bench.list(&[(0, Standing::Gone), (1, Standing::Gone)]);
     let busy =
         |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::Refused { why: Refusal::Busy, .. }));
-    let first = (1..).find(|&job| busy(&bench.submit(job, None))).expect("an end");
+    let first = (1..).find(|&job| busy(&bench.submit(job, None))).expect("a refusal");
     assert_eq!(first, MAX_PENDING_PER_LINK as u64 + 1);
-    let more = (first..).find(|&job| busy(&bench.submit(job, Some("k")))).expect("an end");
+    let more = (first..).find(|&job| busy(&bench.submit(job, Some("k")))).expect("a refusal");
     assert_eq!(more, (1 << 20) / JOB_BYTES as u64 + 1);
-    bench.tell(Input::OwnerGone { link: 1 });
+    bench.apply_input(Input::OwnerGone { link: 1 });
     assert_eq!((bench.core.owed(1), bench.core.is_full()), (Owed::default(), false));
 }
 
@@ -272,7 +275,7 @@
     let mut bench = Bench::new("repeatable");
     bench.list(&[(1, Standing::Gone)]);
     assert_eq!(launched(&bench.submit(1, None)), Some(MachineId(0)));
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     bench.bound(MachineId(0), 1);
     let replaced = bench.list(&[(10, Standing::Ready)]);
     let lost = Effect::Released { owner: Owner::Link(1), job: RequestId(1), outcome: Outcome::Lost };
@@ -282,7 +285,7 @@
 
 /// Guards memory over a long run: machine names keep changing, and the names of former machines are removed.
 #[test]
-fn names_of_gone_machines_are_let_go() {
+fn names_of_former_machines_are_removed() {
     let mut bench = Bench::new("repeatable");
     for n in 0..1000 {
         let machine = bench.core.words().machine(&format!("box-{n}"));
@@ -300,14 +303,17 @@
     for standing in [Standing::Draining, Standing::Ready] {
         let mut bench = Bench::new("repeatable");
         let at = launched(&bench.submit(1, None)).expect("a launch");
-        bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+        bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
         bench.bound(at, 1);
         bench.list(&[(at.0, standing)]);
         let lost = Effect::Released { owner: Owner::Link(1), job: RequestId(1), outcome: Outcome::Lost };
         let kept = standing == Standing::Draining;
-        assert_eq!(bench.tell(Input::DialRefused { machine: at, quiet_s: 0.0 }).contains(&lost), !kept);
+        assert_eq!(
+            bench.apply_input(Input::DialRefused { machine: at, quiet_s: 0.0 }).contains(&lost),
+            !kept
+        );
         bench.now += 5.0;
-        assert_eq!(bench.tell(Input::DialRefused { machine: at, quiet_s: 0.0 }).contains(&lost), kept);
+        assert_eq!(bench.apply_input(Input::DialRefused { machine: at, quiet_s: 0.0 }).contains(&lost), kept);
     }
 }
 
@@ -315,41 +321,45 @@
 /// the attempt stays open and no other may follow. Only the machine's answer to a connection check on the
 /// same connection confirms the cancellation and allows another attempt.
 #[test]
-fn what_is_given_up_is_out_until_its_machine_is_heard() {
+fn a_cancelled_attempt_is_open_until_its_machine_confirms() {
     for hears in [true, false] {
         let mut bench = Bench::new("repeatable");
         bench.core.settings.probes = true;
         let at = launched(&bench.submit(1, None)).expect("a launch");
-        bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+        bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
         let timed_out = (1..50)
-            .map(|tenth| bench.at(100.0 + f64::from(tenth) / 10.0))
+            .map(|tenth| bench.tick_at(100.0 + f64::from(tenth) / 10.0))
             .find(|effects| !effects.is_empty())
             .expect("a time-out before the deadline");
         assert!(timed_out.contains(&Effect::GiveUp { machine: at, job: RequestId(1) }));
-        assert_eq!((launched(&timed_out), answers(&timed_out)), (None, 0), "the first may be out still");
+        assert_eq!(
+            (launched(&timed_out), answers(&timed_out)),
+            (None, 0),
+            "the first attempt may still be open"
+        );
         let ask = timed_out.iter().find_map(|e| match e {
             Effect::Ask { machine, ask } if *machine == at => Some(*ask),
             _ => None,
         });
-        let ask = ask.expect("the machine is asked whether it heard");
-        assert_eq!(launched(&bench.tell(Input::Heard { machine: MachineId(1 - at.0), ask })), None);
-        assert!(bench.bound(at, 1).is_empty(), "an answer that crossed the give-up places nothing");
+        let ask = ask.expect("a connection check is sent to the machine");
+        assert_eq!(launched(&bench.apply_input(Input::Heard { machine: MachineId(1 - at.0), ask })), None);
+        assert!(bench.bound(at, 1).is_empty(), "an answer that crossed the cancellation is dropped");
         if hears {
-            assert!(launched(&bench.tell(Input::Heard { machine: at, ask })).is_some());
+            assert!(launched(&bench.apply_input(Input::Heard { machine: at, ask })).is_some());
             continue;
         }
         let effects: Vec<Effect> =
-            (1..=12).flat_map(|tenth| bench.at(103.0 + f64::from(tenth) / 10.0)).collect();
+            (1..=12).flat_map(|tenth| bench.tick_at(103.0 + f64::from(tenth) / 10.0)).collect();
         assert_eq!((launched(&effects), answers(&effects)), (None, 1), "answered at once, not sent again");
     }
 }
 
 /// Advances the clock until an attempt starts; returns its machine and the number of the connection check
 /// before it.
-fn offered(bench: &mut Bench) -> Option<(MachineId, Option<u64>)> {
+fn run_until_launch(bench: &mut Bench) -> Option<(MachineId, Option<u64>)> {
     (0..500).find_map(|_| {
         bench.now += 0.01;
-        bench.tell(Input::Tick).into_iter().find_map(|effect| match effect {
+        bench.apply_input(Input::Tick).into_iter().find_map(|effect| match effect {
             Effect::Launch { machine, fence, .. } => Some((machine, fence)),
             _ => None,
         })
@@ -367,16 +377,16 @@
     let at = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
     bench.end(at, 1, Outcome::Full);
-    let (again, fence) = offered(&mut bench).expect("another attempt");
+    let (again, fence) = run_until_launch(&mut bench).expect("another attempt");
     assert_eq!(again, at);
-    let fence = fence.expect("a test before the second attempt there");
+    let fence = fence.expect("a connection check before the second attempt there");
     bench.sent(1, 1);
     let early =
         [bench.end(at, 1, Outcome::Full), bench.bound(at, 1), bench.end(at, 1, Outcome::Error)].concat();
-    assert!(early.is_empty(), "what comes before the test's answer is of the first: {early:?}");
-    bench.tell(Input::Heard { machine: MachineId(1 - at.0), ask: fence });
+    assert!(early.is_empty(), "messages before the check's answer belong to the first attempt: {early:?}");
+    bench.apply_input(Input::Heard { machine: MachineId(1 - at.0), ask: fence });
     assert!(bench.bound(at, 1).is_empty(), "another machine's answer proves nothing");
-    bench.tell(Input::Heard { machine: at, ask: fence });
+    bench.apply_input(Input::Heard { machine: at, ask: fence });
     assert_eq!(answers(&bench.bound(at, 1)), 1);
 }
 
@@ -384,7 +394,7 @@
 /// connection, so that its machine gets no second attempt of this job. Neither does a machine that cannot be
 /// checked.
 #[test]
-fn a_machine_out_of_sight_gets_no_second_attempt() {
+fn a_machine_without_confirmed_end_gets_no_second_attempt() {
     for broke in [true, false] {
         let mut bench = Bench::new("repeatable");
         bench.core.settings.probes = broke;
@@ -392,11 +402,11 @@
         let at = launched(&bench.submit(1, None)).expect("a launch");
         bench.sent(1, 0);
         let mut effects = match broke {
-            true => bench.tell(Input::LinkBroken { machine: at, proved: true }),
+            true => bench.apply_input(Input::LinkBroken { machine: at, proved: true }),
             false => bench.end(at, 1, Outcome::Full),
         };
         for tenth in 1..=60 {
-            effects.extend(bench.at(100.0 + f64::from(tenth) / 10.0));
+            effects.extend(bench.tick_at(100.0 + f64::from(tenth) / 10.0));
         }
         assert_eq!((launched(&effects), answers(&effects)), (None, 1));
     }
@@ -404,7 +414,7 @@
     let at = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
     assert_eq!(
-        launched(&bench.tell(Input::LinkBroken { machine: at, proved: true })),
+        launched(&bench.apply_input(Input::LinkBroken { machine: at, proved: true })),
         Some(MachineId(1 - at.0))
     );
 }
@@ -412,19 +422,19 @@
 /// Guards the same against an id that is submitted again after its job is over: while a copy of the first may
 /// run, the second is answered without being sent.
 #[test]
-fn an_id_of_which_a_copy_may_run_is_not_sent_anew() {
+fn an_id_whose_copy_may_run_is_not_sent_again() {
     let failed = Effect::Failed { owner: Owner::Link(1), job: RequestId(1) };
     for proof in 0..3 {
         let mut bench = Bench::new("repeatable");
         let at = launched(&bench.submit(1, None)).expect("a launch");
         bench.sent(1, 0);
-        bench.tell(Input::Cancel { job: RequestId(1), cause: 16 });
+        bench.apply_input(Input::Cancel { job: RequestId(1), cause: 16 });
         bench.core.forget(RequestId(1), &mut vec![]);
         assert!(bench.submit(1, None).contains(&failed));
         match proof {
             0 => _ = bench.end(MachineId(1 - at.0), 1, Outcome::Lost),
             1 => _ = bench.end(at, 1, Outcome::Lost),
-            _ => _ = bench.tell(Input::MachineLost { machine: at, proved: true }),
+            _ => _ = bench.apply_input(Input::MachineLost { machine: at, proved: true }),
         }
         assert_eq!(launched(&bench.submit(1, None)).is_some(), proof > 0, "only its machine can prove it");
     }
@@ -433,11 +443,11 @@
 /// Guards keyed jobs: whatever the placer decides, a job is retried only in the place (zone or cell) of its
 /// first attempt that may have run, also if that attempt's machine has left the list.
 #[test]
-fn keyed_work_stays_in_its_group() {
+fn a_keyed_job_stays_in_its_place() {
     for (group, allowed) in
         [("all", [true; 3]), ("zone", [true, true, false]), ("cell", [true, false, false])]
     {
-        let mut bench = Bench { core: core_of("by_key", group), now: 100.0 };
+        let mut bench = Bench { core: core_in_place("by_key", group), now: 100.0 };
         let spots = [(0, 0, 0), (1, 0, 0), (2, 0, 1), (3, 1, 2)];
         let notice = |&(n, zone, cell): &(u32, u32, u64)| {
             let (machine, key, free) =
@@ -448,7 +458,7 @@
         };
         let add = |bench: &mut Bench, of: &[(u32, u32, u64)]| {
             let notices = of.iter().map(notice).collect();
-            bench.tell(Input::List { kind: ListKind::Changes, notices })
+            bench.apply_input(Input::List { kind: ListKind::Changes, notices })
         };
         add(&mut bench, &spots[..1]);
         assert_eq!(launched(&bench.submit(1, Some("k"))), Some(MachineId(0)));
@@ -485,22 +495,25 @@
 /// Guards jobs against a machine that leaves and returns under its name: an answer to an attempt it got
 /// before is not taken for an answer to a later attempt, there or elsewhere.
 #[test]
-fn an_answer_of_a_machine_gone_and_back_is_of_its_earlier_attempt() {
+fn an_answer_of_a_returning_machine_belongs_to_its_earlier_attempt() {
     let mut bench = Bench::new("repeatable");
     let first = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
     let gone = bench.list(&[(first.0, Standing::Gone)]);
-    assert_eq!(launched(&gone), None, "it is out there still");
-    let departure = departure(&gone).expect("its connection is to end");
-    let ended = bench.tell(Input::Departed { departure, proved: true });
-    let second = launched(&ended).expect("it goes elsewhere");
+    assert_eq!(launched(&gone), None, "the attempt is still open there");
+    let departure = departure(&gone).expect("its connection is closed");
+    let ended = bench.apply_input(Input::Departed { departure, proved: true });
+    let second = launched(&ended).expect("the job goes to another machine");
     assert_ne!(second, first);
     bench.sent(1, 1);
     bench.list(&[(first.0, Standing::Ready)]);
     assert_eq!(answers(&bench.bound(first, 1)), 0);
     assert_eq!(answers(&bench.end(first, 1, Outcome::Full)), 0);
     assert_eq!(answers(&bench.bound(second, 1)), 1);
-    assert!(bench.end(first, 1, Outcome::Lost).is_empty(), "nor does it end what stands elsewhere");
+    assert!(
+        bench.end(first, 1, Outcome::Lost).is_empty(),
+        "a report of the first machine does not end the task on the second"
+    );
 }
 
 impl Bench {
@@ -511,11 +524,11 @@
         let standing = Standing::Ready;
         let entry = Entry { machine, key, zone, cell, kind: Some(0), standing, free, started };
         let notices = vec![Notice { entry, address: format!("a:{n}") }];
-        self.tell(Input::List { kind: ListKind::Changes, notices })
+        self.apply_input(Input::List { kind: ListKind::Changes, notices })
     }
 }
 
-fn taken_back(effects: &[Effect], job: u64) -> Option<MachineId> {
+fn cancelled_at(effects: &[Effect], job: u64) -> Option<MachineId> {
     let of = |e: &Effect| match e {
         Effect::GiveUp { machine, job: id } if id.0 == job => Some(*machine),
         _ => None,
@@ -526,7 +539,7 @@
 /// Guards clients of a connection that can no longer be read: their pending jobs get one answer each, and
 /// their running tasks continue.
 #[test]
-fn what_is_open_on_a_faulty_connection_is_answered() {
+fn pending_jobs_of_a_faulty_connection_are_answered() {
     let mut bench = Bench::new("repeatable");
     let stands = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
@@ -534,76 +547,76 @@
     bench.submit(2, None);
     bench.submit(3, None);
     bench.sent(3, 0);
-    let ended = bench.tell(Input::OwnerFaulty { link: 1 });
+    let ended = bench.apply_input(Input::OwnerFaulty { link: 1 });
     assert_eq!(answers(&ended), 2);
-    assert!(taken_back(&ended, 2).is_some() && taken_back(&ended, 3).is_some());
+    assert!(cancelled_at(&ended, 2).is_some() && cancelled_at(&ended, 3).is_some());
     assert_eq!((bench.core.pending(), bench.core.standing_at(stands)), (0, 1));
 }
 
 /// Guards rule 2: a further attempt that is still queued when the repeat window ends is cancelled at that
 /// time, and not sent afterwards.
 #[test]
-fn a_further_attempt_does_not_leave_after_its_window() {
-    let mut bench = Bench { core: core_within("by_key", 2.0), now: 100.0 };
+fn a_further_attempt_is_not_sent_after_its_window() {
+    let mut bench = Bench { core: core_with_window("by_key", 2.0), now: 100.0 };
     bench.list(&[(0, Standing::Ready), (1, Standing::Ready)]);
     let first = launched(&bench.submit(1, Some("k"))).expect("a launch");
     bench.sent(1, 0);
     bench.now = 101.0;
-    let again =
-        launched(&bench.tell(Input::LinkBroken { machine: first, proved: true })).expect("a further attempt");
-    assert_eq!(bench.core.next_alarm(), Some(102.0), "whoever writes looks at the time, and finds this due");
-    assert_eq!(taken_back(&bench.at(101.99), 1), None);
-    let ended = bench.at(102.0);
-    assert_eq!(taken_back(&ended, 1), Some(again));
-    assert_eq!((answers(&ended), launched(&ended)), (1, None), "it has its answer at once");
+    let again = launched(&bench.apply_input(Input::LinkBroken { machine: first, proved: true }))
+        .expect("a further attempt");
+    assert_eq!(bench.core.next_alarm(), Some(102.0), "the next alarm is the end of the repeat window");
+    assert_eq!(cancelled_at(&bench.tick_at(101.99), 1), None);
+    let ended = bench.tick_at(102.0);
+    assert_eq!(cancelled_at(&ended, 1), Some(again));
+    assert_eq!((answers(&ended), launched(&ended)), (1, None), "the job is answered at once");
     // An attempt that was sent by then may be answered as long as its owner waits.
-    let mut bench = Bench { core: core_within("by_key", 2.0), now: 100.0 };
+    let mut bench = Bench { core: core_with_window("by_key", 2.0), now: 100.0 };
     bench.list(&[(0, Standing::Ready), (1, Standing::Ready)]);
     let first = launched(&bench.submit(1, Some("k"))).expect("a launch");
     bench.sent(1, 0);
     bench.now = 101.0;
-    let again =
-        launched(&bench.tell(Input::LinkBroken { machine: first, proved: true })).expect("a further attempt");
+    let again = launched(&bench.apply_input(Input::LinkBroken { machine: first, proved: true }))
+        .expect("a further attempt");
     bench.sent(1, 1);
-    assert_eq!(taken_back(&bench.at(102.0), 1), None);
+    assert_eq!(cancelled_at(&bench.tick_at(102.0), 1), None);
     assert_eq!(answers(&bench.bound(again, 1)), 1);
 }
 
 /// Guards cold machines against the planners' send queues: attempts that were decided for a warm machine and
 /// not sent yet are decided again once the machine is known to have restarted.
 #[test]
-fn what_waits_for_a_machine_that_restarts_is_decided_anew() {
+fn queued_attempts_are_decided_again_after_a_restart() {
     let mut bench = Bench { core: core("repeatable"), now: 100.0 };
     bench.started(0, 10.0);
     assert_eq!(launched(&bench.submit(1, None)), Some(MachineId(0)));
-    assert_eq!(taken_back(&bench.started(0, 99.5), 1), Some(MachineId(0)));
+    assert_eq!(cancelled_at(&bench.started(0, 99.5), 1), Some(MachineId(0)));
 }
 
 /// Guards cold machines against the shares of two windows that are sent at once: the placer's windows are
 /// longer by a quarter, and an attempt for a cold machine that cannot be sent within that quarter is
 /// cancelled. One for a warm machine stays queued.
 #[test]
-fn an_attempt_for_a_cold_machine_does_not_wait_past_its_part() {
+fn an_attempt_for_a_cold_machine_does_not_wait_past_its_share() {
     for (started, waits) in [(10.0, true), (99.0, false)] {
         let mut bench = Bench { core: core("repeatable"), now: 100.0 };
         bench.started(0, started);
         // The placer sends a cold machine nothing in its first window.
         bench.now = 104.0;
         assert_eq!(launched(&bench.submit(1, None)), Some(MachineId(0)));
-        assert_eq!(taken_back(&bench.at(104.49), 1), None);
-        assert_eq!(taken_back(&bench.at(104.5), 1).is_none(), waits, "up since {started}");
+        assert_eq!(cancelled_at(&bench.tick_at(104.49), 1), None);
+        assert_eq!(cancelled_at(&bench.tick_at(104.5), 1).is_none(), waits, "up since {started}");
     }
 }
 
 /// Guards tasks that must not be repeated: a machine that only counts as lost may still hold attempts, whose
 /// connection is working. Such an attempt ends by its time-out or with its connection.
 #[test]
-fn a_machine_that_counts_as_lost_ends_no_attempt_that_is_out_there() {
+fn an_unproved_loss_ends_no_sent_attempt() {
     let mut bench = Bench::new("repeatable");
     let at = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
-    assert_eq!(launched(&bench.tell(Input::MachineLost { machine: at, proved: false })), None);
-    assert!(launched(&bench.tell(Input::MachineLost { machine: at, proved: true })).is_some());
+    assert_eq!(launched(&bench.apply_input(Input::MachineLost { machine: at, proved: false })), None);
+    assert!(launched(&bench.apply_input(Input::MachineLost { machine: at, proved: true })).is_some());
 }
 
 fn departure(effects: &[Effect]) -> Option<DepartureId> {
@@ -618,7 +631,7 @@
 /// that ended, goes elsewhere once its machine is known to have abandoned it. If that is never known, the job
 /// is answered without another attempt.
 #[test]
-fn what_nobody_proved_given_up_is_answered_and_not_sent_again() {
+fn an_unconfirmed_attempt_is_answered_and_not_repeated() {
     for leaves in [true, false] {
         for proved in [true, false] {
             let mut bench = Bench::new("repeatable");
@@ -626,11 +639,11 @@
             bench.sent(1, 0);
             let ended = if leaves {
                 let gone = bench.list(&[(at.0, Standing::Gone)]);
-                assert_eq!((launched(&gone), taken_back(&gone, 1)), (None, Some(at)));
-                assert_eq!(answers(&bench.bound(at, 1)), 0, "it is given up");
-                bench.tell(Input::Departed { departure: departure(&gone).expect("one"), proved })
+                assert_eq!((launched(&gone), cancelled_at(&gone, 1)), (None, Some(at)));
+                assert_eq!(answers(&bench.bound(at, 1)), 0, "the attempt is cancelled");
+                bench.apply_input(Input::Departed { departure: departure(&gone).expect("one"), proved })
             } else {
-                bench.tell(Input::LinkBroken { machine: at, proved })
+                bench.apply_input(Input::LinkBroken { machine: at, proved })
             };
             assert_eq!((launched(&ended).is_some(), answers(&ended)), (proved, usize::from(!proved)));
         }
@@ -640,7 +653,7 @@
 /// Guards clients with an attempt open at a machine that left the list and never closes its connection: they
 /// are answered within the confirmation time-out, and before their deadline.
 #[test]
-fn what_is_out_at_a_machine_that_left_is_answered_in_time() {
+fn an_attempt_at_a_departed_machine_is_answered_in_time() {
     for (left_at, answered_by) in [(100.0, 101.0), (104.5, 105.0)] {
         let mut bench = Bench::new("repeatable");
         let at = launched(&bench.submit(1, None)).expect("a launch");
@@ -648,7 +661,7 @@
         bench.now = left_at;
         // The attempt's own time-out may have passed before.
         let gone = bench.list(&[(at.0, Standing::Gone)]);
-        let ended = bench.at(answered_by);
+        let ended = bench.tick_at(answered_by);
         assert_eq!((answers(&gone) + answers(&ended), launched(&ended)), (1, None), "left at {left_at}");
     }
 }
