--- a/src/state/alarms.rs
+++ b/src/state/alarms.rs
@@ -2,18 +2,30 @@
 
 use super::*;
 
+/// A timer, with the job, attempt or group that it concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Alarm {
+    /// The placer requested a timer.
     Placer,
+    /// The time of an attempt is up.
     AttemptTimeout(RequestId, AttemptNo),
+    /// The machine did not confirm a cancellation in time.
     CancelUnconfirmed(RequestId, AttemptNo),
+    /// An attempt must not be sent later than this.
     QueueTimeout(RequestId, AttemptNo),
+    /// The job must have its final answer.
     ForceAnswer(RequestId),
+    /// All jobs must be answered before the shutdown.
     ShutDown,
+    /// The machine of a reported task must be listed.
     UnlistedTimeout(RequestId),
+    /// The time for which a finished job is kept is up.
     ForgetJob(RequestId),
+    /// A group requested a timer.
     Group(GroupId),
+    /// The time for which a finished group is kept is up.
     ForgetGroup(GroupId),
+    /// The next call of `fleet_tick`.
     Fleet,
 }
 
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -36,16 +36,16 @@
         // A group retries a member only once its earlier copy is proved gone; the repeat window applies all
         // the same.
         let of_group = matches!(job.owner, Owner::Group { .. });
-        let in_window = match (self.settings.classes[job.task.class].effect, job.risky_since) {
+        let in_window = match (self.settings.classes[job.task.class].effect, job.may_have_run_since) {
             (_, None) => true,
-            (_, Some(_)) if !limits.copies && (job.own_attempt_risky || !of_group) => false,
+            (_, Some(_)) if !limits.copies && (job.own_attempt_may_have_run || !of_group) => false,
             (Effect_::Repeatable, _) => true,
             (Effect_::Once, Some(_)) => false,
             (Effect_::Keyed { window_s, .. }, Some(since)) => now < since + window_s.min(limits.window_s),
         };
         // These conditions never become true again, so that the placer need not retry.
         let is_permanent =
-            !in_window || job.unheard || attempt >= self.settings.max_attempts.min(limits.attempts);
+            !in_window || job.unconfirmed || attempt >= self.settings.max_attempts.min(limits.attempts);
         let in_place = match self.settings.classes[job.task.class].effect {
             Effect_::Keyed { group, .. } => job.is_colocated(group, location),
             _ => true,
@@ -75,7 +75,7 @@
         // of attempts is due.
         let window_ends = match self.settings.classes[job.task.class].effect {
             Effect_::Keyed { window_s, .. } => {
-                job.risky_since.map(|since| since + window_s.min(limits.window_s))
+                job.may_have_run_since.map(|since| since + window_s.min(limits.window_s))
             }
             _ => None,
         };
@@ -117,8 +117,8 @@
         body: String,
         effects: &mut Vec<Effect>,
     ) {
-        // An answer that arrives after a cancellation is dropped: the machine receives the cancellation after
-        // it sent the answer.
+        // An answer that arrives after a cancellation is dropped: the cancellation was sent on the same
+        // connection and still reaches the machine.
         let open_attempt = self.jobs.get(&id).and_then(|j| j.open_attempt);
         if !open_attempt.is_some_and(|t| t.is_answered_by(at) && t.give_up_fence.is_none()) {
             return;
@@ -167,10 +167,10 @@
             }
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let (finished, unheard) = (job.phase != Phase::Pending, job.unheard);
-        let last = !finished && (unheard || self.is_last_attempt(now, id));
+        let (finished, unconfirmed) = (job.phase != Phase::Pending, job.unconfirmed);
+        let last = !finished && (unconfirmed || self.is_last_attempt(now, id));
         let (machine, attempt) = (open_attempt.machine, open_attempt.attempt);
-        effects.push(Effect::AttemptOver { job: id, machine, attempt, outcome, why, unheard });
+        effects.push(Effect::AttemptOver { job: id, machine, attempt, outcome, why, unheard: unconfirmed });
         self.changed(id, ChangeKind::Modified, effects);
         let (request, attempt, reason) = (id, open_attempt.attempt, why);
         let end = End { request, attempt, outcome, reason, finished, last, report };
@@ -332,7 +332,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.open_attempt.is_some_and(|t| t.attempt == attempt && t.give_up_fence.is_some()) {
-            job.unheard = true;
+            job.unconfirmed = true;
             self.mark_unconfirmed(id);
             self.end_attempt(now, id, Outcome::TimedOut, Reason::Unknown, None, effects);
         }
@@ -368,7 +368,7 @@
             for id in self.open_attempts_at(machine, |t| t.sent) {
                 let job = self.jobs.get_mut(&id).filter(|j| !matches!(j.owner, Owner::Group { .. }));
                 if let Some(job) = job {
-                    job.unheard = true;
+                    job.unconfirmed = true;
                 }
             }
         }
@@ -382,9 +382,9 @@
     ) -> Option<OpenAttempt> {
         let open_attempt = self.remove_open_attempt(id)?;
         let job = self.jobs.get_mut(&id)?;
-        let (machine, attempt, unheard) = (open_attempt.machine, open_attempt.attempt, job.unheard);
+        let (machine, attempt, unconfirmed) = (open_attempt.machine, open_attempt.attempt, job.unconfirmed);
         let (outcome, why) = (Outcome::Cancelled, Reason::Unknown);
-        effects.push(Effect::AttemptOver { job: id, machine, attempt, outcome, why, unheard });
+        effects.push(Effect::AttemptOver { job: id, machine, attempt, outcome, why, unheard: unconfirmed });
         if open_attempt.sent {
             job.may_have_run(&open_attempt);
         }
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -49,6 +49,7 @@
 pub(super) struct Groups {
     records: BTreeMap<GroupId, GroupRecord>,
     keys: BTreeMap<String, GroupId>,
+    /// Finished groups, oldest first.
     over: VecDeque<GroupId>,
     pending_cuts: BTreeMap<RequestId, PendingCut>,
     /// The jobs with pending stop orders, oldest first.
@@ -79,7 +80,7 @@
 pub struct GroupView {
     /// The group's id.
     pub id: GroupId,
-    /// The machine at which it runs or ran.
+    /// The group's state.
     pub phase: groups::Phase,
     /// The final answer, once given.
     pub answer: Option<Answer>,
@@ -103,6 +104,7 @@
         self.records.values().filter(|b| b.answer.is_none()).count()
     }
 
+    /// Drops a pending stop order once all machines have confirmed it.
     fn settle_cut(&mut self, job: RequestId) {
         if self.pending_cuts.get(&job).is_some_and(|cut| cut.machines.is_empty()) {
             let of = self.pending_cuts.remove(&job).map(|cut| cut.of);
@@ -284,6 +286,7 @@
         }
     }
 
+    /// Whether a copy of a member may still run.
     fn may_have_copies(&self, group: GroupId, member: usize) -> bool {
         let job = self.groups.records.get(&group).and_then(|b| b.members.get(member)?.job);
         // A job that is not over may still have copies.
--- a/src/state/groups/tests.rs
+++ b/src/state/groups/tests.rs
@@ -496,7 +496,7 @@
     assert_eq!((view.answer, view.tries), (Some(Answer::Placed), 2), "{view:?}");
     let keyed = view.members[2].job.and_then(|job| sim.core.job(job)).expect("a job");
     assert!(
-        keyed.risky_since.is_some_and(|since| since < 100.02),
+        keyed.may_have_run_since.is_some_and(|since| since < 100.02),
         "it keeps the repeat window of its first attempt"
     );
     assert!(sim.partial(&BTreeMap::from([(id, 3)])).iter().all(|time| *time <= 1.0));
--- a/src/state/interface.rs
+++ b/src/state/interface.rs
@@ -52,7 +52,7 @@
 
 /// The jobs of a platform connection that are not over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Owed {
+pub struct LinkLoad {
     /// Jobs that wait for their final answer.
     pub open: usize,
     /// Running tasks.
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -21,16 +21,17 @@
 impl Job {
     /// Records that an attempt may have run.
     pub(super) fn may_have_run(&mut self, open_attempt: &OpenAttempt) {
-        if self.risky_since.is_none() {
-            (self.risky_since, self.risky_location) = (Some(open_attempt.at), Some(open_attempt.location));
+        if self.may_have_run_since.is_none() {
+            (self.may_have_run_since, self.may_have_run_location) =
+                (Some(open_attempt.at), Some(open_attempt.location));
         }
-        self.own_attempt_risky = true;
+        self.own_attempt_may_have_run = true;
     }
 
     /// Whether a machine is in the same place (machine, cell or zone) as the one at which the job may have
     /// run first.
     pub(super) fn is_colocated(&self, place: Place, there: Location) -> bool {
-        self.risky_location.is_none_or(|first| match place {
+        self.may_have_run_location.is_none_or(|first| match place {
             Place::All => true,
             Place::Machine => first.machine == there.machine,
             Place::Cell => first.cell == there.cell,
@@ -74,7 +75,9 @@
     pub attempt: AttemptNo,
     pub machine: MachineId,
     pub location: Location,
+    /// The time at which the attempt was decided.
     pub at: Seconds,
+    /// Whether the attempt was sent, and not only queued.
     pub sent: bool,
     /// The connection check sent before this attempt, because an earlier attempt was sent to the same
     /// machine; messages that arrive before its answer belong to the earlier attempt.
@@ -115,11 +118,11 @@
     /// Seconds. Retry delay reported to the owner.
     pub retry_in_s: Seconds,
     /// Start time of the first attempt that may have run.
-    pub risky_since: Option<Seconds>,
+    pub may_have_run_since: Option<Seconds>,
     /// The location of that attempt's machine.
-    pub(super) risky_location: Option<Location>,
+    pub(super) may_have_run_location: Option<Location>,
     /// Whether an attempt of this job may have run, rather than of an earlier job with the same key.
-    pub(super) own_attempt_risky: bool,
+    pub(super) own_attempt_may_have_run: bool,
     /// Version of the last change.
     pub version: u64,
     /// The operators' limit that refused a further attempt.
@@ -133,7 +136,8 @@
     pub(super) past: Vec<Past>,
     /// A cancelled or interrupted attempt was not confirmed by its machine and may still run; no further
     /// attempt is made.
-    pub(super) unheard: bool,
+    pub(super) unconfirmed: bool,
+    /// The time since which the task runs, as far as this planner knows.
     pub(super) placed_at: Seconds,
 }
 
@@ -216,16 +220,16 @@
     }
 
     pub(super) fn add(&mut self, now: Seconds, ask: Ask, phase: Phase) {
-        let (mut risky_since, mut risky_location) = (None, None);
+        let (mut may_have_run_since, mut may_have_run_location) = (None, None);
         if let (Some(key), Owner::Rest | Owner::Group { .. }) = (&ask.spec.key, ask.owner) {
             let at = (ask.spec.class.clone(), key.clone());
             let before = self.keys.insert(at, ask.job).and_then(|before| self.jobs.get(&before));
             // A retry stays in the repeat window that the first try opened. A job that was running has
             // certainly ended, and after the window a request counts as a new placement, as on the platform.
             let before = before.filter(|j| j.machine.is_none());
-            risky_location = before.and_then(|j| j.risky_location);
-            let risky = before.and_then(|j| j.risky_since);
-            risky_since = risky.filter(|&since| match self.settings.classes[ask.task.class].effect {
+            may_have_run_location = before.and_then(|j| j.may_have_run_location);
+            let risky = before.and_then(|j| j.may_have_run_since);
+            may_have_run_since = risky.filter(|&since| match self.settings.classes[ask.task.class].effect {
                 Effect_::Keyed { window_s, .. } => now < since + window_s,
                 _ => true,
             });
@@ -239,16 +243,16 @@
             machine: None,
             last: None,
             retry_in_s: 0.0,
-            risky_since,
-            risky_location: risky_location.filter(|_| risky_since.is_some()),
-            own_attempt_risky: false,
+            may_have_run_since,
+            may_have_run_location: may_have_run_location.filter(|_| may_have_run_since.is_some()),
+            own_attempt_may_have_run: false,
             version: 0,
             turned: None,
             ticket: None,
             charged: false,
             open_attempt: None,
             past: Vec::new(),
-            unheard: false,
+            unconfirmed: false,
             placed_at: 0.0,
         };
         match job.owner {
--- a/src/state/limits/tests.rs
+++ b/src/state/limits/tests.rs
@@ -40,7 +40,7 @@
     class: usize,
     launches: usize,
     open: Option<(MachineId, AttemptNo)>,
-    risky_since: Option<Seconds>,
+    may_have_run_since: Option<Seconds>,
     sent: bool,
     sent_at: Seconds,
     answers: usize,
@@ -101,7 +101,7 @@
                 assert!(*left_s <= of.attempt_s + 1e-6, "an attempt of {left_s} s");
                 let end = record.deadline.min(record.asked_at + record.limits.total_s);
                 assert!(now + left_s <= end + 1e-6, "an attempt beyond its job's deadline");
-                if let Some(since) = record.risky_since {
+                if let Some(since) = record.may_have_run_since {
                     assert!(of.copies, "a second copy");
                     assert_ne!(record.class, 2, "a second copy of a task of class once");
                     assert!(
@@ -131,7 +131,7 @@
     fn end_attempt(&mut self, job: RequestId, may_have_run: bool) {
         let Some(record) = self.jobs.get_mut(&job) else { return };
         if record.open.take().is_some() && may_have_run && record.sent {
-            record.risky_since = record.risky_since.or(Some(record.sent_at));
+            record.may_have_run_since = record.may_have_run_since.or(Some(record.sent_at));
         }
     }
 
@@ -159,7 +159,7 @@
         };
         let (class_name, service) = (CLASSES[class].to_string(), service.to_string());
         let spec = Spec { class: class_name, service, key, ..Spec::default() };
-        let (asked_at, launches, risky_since) = (self.now, 0, None);
+        let (asked_at, launches, may_have_run_since) = (self.now, 0, None);
         let record = Record {
             limits,
             asked_at,
@@ -167,7 +167,7 @@
             class,
             launches,
             open: None,
-            risky_since,
+            may_have_run_since,
             sent: false,
             sent_at: 0.0,
             answers: 0,
--- a/src/state/machines.rs
+++ b/src/state/machines.rs
@@ -9,7 +9,7 @@
 /// Count. Names of former machines that are kept before unused names are removed.
 const UNUSED_NAMES_KEPT: usize = 64;
 
-/// The cause code sent to a machine with the order to stop a task that counts as lost.
+/// The cause code of an order to stop a task that counts as lost or whose group is stopped.
 pub(super) const CAUSE_CUT: u8 = 41;
 
 impl Core {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -27,7 +27,9 @@
 use groups::Groups;
 pub use groups::{GroupView, MemberView};
 pub use history::{Change, ChangeKind, History, Resume};
-pub use interface::{Ask, Effect, GroupAsk, GroupId, Input, Keep, Notice, Owed, Owner, Phase, Refusal, Spec};
+pub use interface::{
+    Ask, Effect, GroupAsk, GroupId, Input, Keep, LinkLoad, Notice, Owner, Phase, Refusal, Spec,
+};
 use jobs::{FinalAnswer, Job, OpenAttempt};
 use limits::ActiveLimits;
 use machine_table::{MachineTable, Node, RunningAdded};
@@ -48,6 +50,7 @@
 #[derive(Default)]
 struct LinkJobs {
     jobs: BTreeSet<RequestId>,
+    /// Count. The pending ones of these jobs.
     open: usize,
 }
 
@@ -59,10 +62,12 @@
     vocabulary: Vocabulary,
     jobs: BTreeMap<RequestId, Job>,
     nodes: MachineTable,
+    /// The newest job of each class and idempotency key.
     keys: BTreeMap<(String, String), RequestId>,
     /// The jobs that are not over, by the client connection on which they came.
     links: BTreeMap<u64, LinkJobs>,
     alarms: BinaryHeap<Reverse<(u64, Alarm)>>,
+    /// Finished jobs that are kept for reading, oldest first.
     over: VecDeque<RequestId>,
     pending: usize,
     /// Bytes taken by the pending jobs.
@@ -159,10 +164,10 @@
     }
 
     /// The numbers of pending jobs and running tasks of a client connection.
-    pub fn owed(&self, link: u64) -> Owed {
+    pub fn owed(&self, link: u64) -> LinkLoad {
         self.links
             .get(&link)
-            .map_or(Owed::default(), |of| Owed { open: of.open, standing: of.jobs.len() - of.open })
+            .map_or(LinkLoad::default(), |of| LinkLoad { open: of.open, standing: of.jobs.len() - of.open })
     }
 
     /// The pending jobs of a client connection.
--- a/src/state/shutdown.rs
+++ b/src/state/shutdown.rs
@@ -36,7 +36,7 @@
 
 fn final_answer_for(job: &Job) -> FinalAnswer {
     let may_have_run =
-        job.risky_since.is_some() || job.open_attempt.is_some_and(|open_attempt| open_attempt.sent);
+        job.may_have_run_since.is_some() || job.open_attempt.is_some_and(|open_attempt| open_attempt.sent);
     if may_have_run {
         FinalAnswer::Failed
     } else {
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -189,7 +189,7 @@
     bench.now = 104.0;
     bench.apply_input(Input::Cancel { job: RequestId(1), cause: 16 });
     bench.submit(2, Some("k"));
-    assert_eq!(bench.core.job(RequestId(2)).expect("a job").risky_since, Some(100.0));
+    assert_eq!(bench.core.job(RequestId(2)).expect("a job").may_have_run_since, Some(100.0));
     bench.apply_input(Input::Cancel { job: RequestId(2), cause: 16 });
     bench.now = 107.0;
     let again = launched(&bench.submit(3, Some("k"))).expect("a placement of its own");
@@ -201,7 +201,7 @@
         "no copy keeps running"
     );
     bench.submit(4, Some("k"));
-    assert_eq!(bench.core.job(RequestId(4)).expect("a job").risky_since, None);
+    assert_eq!(bench.core.job(RequestId(4)).expect("a job").may_have_run_since, None);
     assert!(at.0 < 2);
 }
 
@@ -249,7 +249,7 @@
     adopt(&mut bench, 3, 1);
     assert_eq!(adopt(&mut bench, 4, 1), [lost(4)]);
     assert_eq!(bench.tick_at(103.0), [lost(2)]);
-    assert_eq!(bench.core.owed(1), Owed { open: 0, standing: 2 });
+    assert_eq!(bench.core.owed(1), LinkLoad { open: 0, standing: 2 });
 }
 
 /// Guards clients against a single connection that submits too many jobs, and memory against all connections
@@ -265,7 +265,7 @@
     let more = (first..).find(|&job| busy(&bench.submit(job, Some("k")))).expect("a refusal");
     assert_eq!(more, (1 << 20) / JOB_BYTES as u64 + 1);
     bench.apply_input(Input::OwnerGone { link: 1 });
-    assert_eq!((bench.core.owed(1), bench.core.is_full()), (Owed::default(), false));
+    assert_eq!((bench.core.owed(1), bench.core.is_full()), (LinkLoad::default(), false));
 }
 
 /// Guards a new machine at a former machine's address: nothing more is sent to the former one, and its
