--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -133,8 +133,8 @@
     assert_eq!(launched(&effects), Some(MachineId(1 - at.0)));
 }
 
-/// Guards rule 2: an attempt that was never sent never ran, so that even a task of class `once` is attempted
-/// again.
+/// Guards rule 2: an attempt that was never sent never ran, so that even a task that must run at most once is
+/// attempted again.
 #[test]
 fn only_a_sent_attempt_may_have_run() {
     for left in [false, true] {
@@ -288,12 +288,12 @@
 fn names_of_former_machines_are_removed() {
     let mut bench = Bench::new("repeatable");
     for n in 0..1000 {
-        let machine = bench.core.words().machine(&format!("box-{n}"));
+        let machine = bench.core.words().machine(&format!("machine-{n}"));
         bench.list(&[(machine.0, Standing::Ready)]);
         bench.list(&[(machine.0, Standing::Gone)]);
     }
     assert!(bench.core.words().machines() < 100);
-    assert_eq!(bench.core.words().machine("box-1000"), MachineId(1000));
+    assert_eq!(bench.core.words().machine("machine-1000"), MachineId(1000));
 }
 
 /// Guards the running tasks of a draining machine: it refuses new connections, such as that of a planner that
