--- a/src/state/alarms.rs
+++ b/src/state/alarms.rs
@@ -1,19 +1,31 @@
-//! The alarms: what is due when.
+//! The alarms: pending timers in order of their time.
 
 use super::*;
 
+/// A timer, with the job, attempt or group that it concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Alarm {
+    /// The placer requested a timer.
     Placer,
-    GiveUp(RequestId, AttemptNo),
-    Unproved(RequestId, AttemptNo),
-    Unsent(RequestId, AttemptNo),
-    Answer(RequestId),
+    /// The time of an attempt is up.
+    AttemptTimeout(RequestId, AttemptNo),
+    /// The machine did not confirm a cancellation in time.
+    CancelUnconfirmed(RequestId, AttemptNo),
+    /// An attempt must not be sent later than this.
+    QueueTimeout(RequestId, AttemptNo),
+    /// The job must have its final answer.
+    ForceAnswer(RequestId),
+    /// All jobs must be answered before the shutdown.
     ShutDown,
-    Unlisted(RequestId),
-    Forget(RequestId),
+    /// The machine of a reported task must be listed.
+    UnlistedTimeout(RequestId),
+    /// The time for which a finished job is kept is up.
+    ForgetJob(RequestId),
+    /// A group requested a timer.
     Group(GroupId),
+    /// The time for which a finished group is kept is up.
     ForgetGroup(GroupId),
+    /// The next call of `fleet_tick`.
     Fleet,
 }
 
@@ -22,7 +34,7 @@
 }
 
 impl Core {
-    /// When [`Input::Tick`] is wanted next.
+    /// The time at which the next [`Input::Tick`] is due.
     pub fn next_alarm(&self) -> Option<Seconds> {
         self.alarms.peek().map(|Reverse((at, _))| *at as f64 / 1e6)
     }
@@ -38,37 +50,40 @@
             let Some(Reverse((_, alarm))) = self.alarms.pop() else { break };
             match alarm {
                 Alarm::Placer => placer = true,
-                Alarm::GiveUp(job, attempt) => self.time_out(now, job, attempt, effects),
-                Alarm::Unproved(job, attempt) => self.unheard(now, job, attempt, effects),
-                Alarm::Unsent(job, attempt) => {
-                    if let Some(machine) = self.unsent(job, attempt) {
+                Alarm::AttemptTimeout(job, attempt) => self.attempt_timed_out(now, job, attempt, effects),
+                Alarm::CancelUnconfirmed(job, attempt) => self.cancel_unconfirmed(now, job, attempt, effects),
+                Alarm::QueueTimeout(job, attempt) => {
+                    if let Some(machine) = self.queued_at(job, attempt) {
                         effects.push(Effect::GiveUp { machine, job });
-                        self.trial_over(now, job, Outcome::Moot, Reason::Unknown, None, effects);
+                        self.end_attempt(now, job, Outcome::Moot, Reason::Unknown, None, effects);
                     }
                 }
-                Alarm::Answer(job) => {
-                    // Guards rule 1, should the module have let a job pass its deadline.
+                Alarm::ForceAnswer(job) => {
+                    // Guards rule 1 if the placer let a job pass its deadline without an answer.
                     if self.jobs.get(&job).is_some_and(|j| j.phase == Phase::Pending) {
-                        effects.push(Effect::Log(format!("job {:016x} was answered by its guard", job.0)));
-                        self.take_back(now, job, Final::Failed, effects);
+                        effects.push(Effect::Log(format!(
+                            "job {:016x} had no answer from the placer by its deadline; failing it",
+                            job.0
+                        )));
+                        self.withdraw(now, job, FinalAnswer::Failed, effects);
                     }
                 }
                 Alarm::ShutDown => self.answer_all(now, effects),
-                Alarm::Unlisted(job) => {
+                Alarm::UnlistedTimeout(job) => {
                     let machine =
                         self.jobs.get(&job).filter(|j| j.phase == Phase::Running).and_then(|j| j.machine);
                     if machine.is_some_and(|machine| !self.nodes.contains(machine)) {
-                        self.standing_over(now, job, Outcome::Lost, Reason::Unknown, None, effects);
+                        self.end_running_task(now, job, Outcome::Lost, Reason::Unknown, None, effects);
                     }
                 }
-                Alarm::Forget(job) => self.forget(job, effects),
-                Alarm::Group(group) => self.group_hears(now, group, groups::Event::Tick, effects),
+                Alarm::ForgetJob(job) => self.forget(job, effects),
+                Alarm::Group(group) => self.on_group_event(now, group, groups::Event::Tick, effects),
                 Alarm::ForgetGroup(group) => self.forget_group(group, effects),
                 Alarm::Fleet => self.fleet_tick(now, effects),
             }
         }
         if placer {
-            self.feed(now, Event::Timer, effects);
+            self.feed_placer(now, Event::Timer, effects);
         }
     }
 }
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -1,34 +1,37 @@
-//! The jobs: how they come in, wait, and end.
+//! The life cycle of jobs: submission, waiting, final answer and removal.
 
 use super::*;
 
-/// Bytes that a job takes beside its description.
+/// Bytes that a job takes besides its description.
 pub(super) const JOB_BYTES: usize = 1024;
-/// Count. Jobs that may wait on one connection: no owner alone may take what all share.
-pub(super) const MOST_ON_LINK: usize = 1000;
-/// Seconds. A task that stands at a machine which the list has not named by then counts as lost.
-const UNLISTED_S: Seconds = 2.5;
-/// Seconds. A refusal so close to the deadline is told as the deadline's.
+/// Count. Pending jobs allowed on one client connection, so that no single client takes the memory that all
+/// share.
+pub(super) const MAX_PENDING_PER_LINK: usize = 1000;
+/// Seconds. A running task counts as lost if the machine list has not named its machine within this time.
+const UNLISTED_TIMEOUT_S: Seconds = 2.5;
+/// Seconds. A refusal this close to the deadline is reported as a missed deadline.
 const NEAR_DEADLINE_S: Seconds = 0.05;
-/// Seconds. When a job that was turned away at the door may come back.
-const DOOR_RETRY_S: Seconds = 1.0;
-/// Seconds. Grace after the deadline within which an answer is forced, should the module have given none.
+/// Seconds. Retry delay reported for a job that is refused without having been tried.
+const BUSY_RETRY_S: Seconds = 1.0;
+/// Seconds. Time after the deadline at which an answer is forced if the placer has given none.
 const FORCED_ANSWER_S: Seconds = 0.02;
-/// Multiple. No owner waits longer than so many times what its class usually waits.
-const MOST_WAIT_TIMES: f64 = 8.0;
+/// Multiple of the class's usual deadline. A job with a longer waiting time is not admitted.
+const MAX_WAIT_MULTIPLE: f64 = 8.0;
 
 impl Job {
-    /// Books that an attempt may have run.
-    pub(super) fn may_have_run(&mut self, trial: &Trial) {
-        if self.risky_since.is_none() {
-            (self.risky_since, self.risky_at) = (Some(trial.at), Some(trial.spot));
+    /// Records that an attempt may have run.
+    pub(super) fn may_have_run(&mut self, open_attempt: &OpenAttempt) {
+        if self.may_have_run_since.is_none() {
+            (self.may_have_run_since, self.may_have_run_location) =
+                (Some(open_attempt.at), Some(open_attempt.location));
         }
-        self.own_risk = true;
+        self.own_attempt_may_have_run = true;
     }
 
-    /// Whether a machine lies in that place with the one at which the job may have run first.
-    pub(super) fn is_together(&self, place: Place, there: Spot) -> bool {
-        self.risky_at.is_none_or(|first| match place {
+    /// Whether a machine is in the same place (machine, cell or zone) as the one at which the job may have
+    /// run first.
+    pub(super) fn is_colocated(&self, place: Place, there: Location) -> bool {
+        self.may_have_run_location.is_none_or(|first| match place {
             Place::All => true,
             Place::Machine => first.machine == there.machine,
             Place::Cell => first.cell == there.cell,
@@ -37,105 +40,114 @@
     }
 }
 
-/// The last word on a job that is taken back.
+/// The final answer to a job that is withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Final {
-    /// It failed: it may have run.
+pub(super) enum FinalAnswer {
+    /// Failed: the job may have run.
     Failed,
-    /// It is refused: it never ran.
+    /// Refused: the job never ran.
     Refused,
-    /// Its owner does not wait.
-    Unowed,
+    /// No answer: the owner does not wait for one.
+    NoAnswer,
 }
 
-/// Where a machine lies; kept with a job, as its machine may leave the list within the window.
+/// The location of a machine. It is kept with a job, as the machine may leave the list within the repeat
+/// window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Spot {
+pub(super) struct Location {
     pub machine: MachineId,
     pub zone: ZoneId,
     pub cell: CellId,
 }
 
-/// An attempt that left and is over.
+/// A past attempt that was sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Past {
     pub machine: MachineId,
-    /// Its machine's word, or proof, ended it: nothing more of it comes after the answer to a later test.
-    pub settled: bool,
+    /// Whether the machine reported or confirmed its end: then no message about it follows the answer to a
+    /// later connection check.
+    pub confirmed: bool,
 }
 
-/// An attempt that is out.
+/// The open attempt of a job: queued or sent, and not over.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Trial {
+pub(super) struct OpenAttempt {
     pub attempt: AttemptNo,
     pub machine: MachineId,
-    pub spot: Spot,
+    pub location: Location,
+    /// The time at which the attempt was decided.
     pub at: Seconds,
-    pub left: bool,
-    /// An earlier attempt was there: what comes before the answer to this test belongs to that one.
+    /// Whether the attempt was sent, and not only queued.
+    pub sent: bool,
+    /// The connection check sent before this attempt, because an earlier attempt was sent to the same
+    /// machine; messages that arrive before its answer belong to the earlier attempt.
     pub fence: Option<u64>,
-    /// It was given up, and counts as out until its machine answers this.
-    pub asked: Option<u64>,
-    /// It is over without a word of its machine: a copy may run, and an answer may still come.
-    pub out_of_sight: bool,
-    /// Its machine left the list, and its connection is not known to have ended.
+    /// Set once the attempt is cancelled: the connection check whose answer confirms the cancellation. The
+    /// attempt counts as open until then.
+    pub give_up_fence: Option<u64>,
+    /// The attempt ended without confirmation by its machine: a copy may run, and an answer may still arrive.
+    pub unconfirmed_end: bool,
+    /// Set if the machine left the list and its connection is not known to have ended.
     pub departure: Option<DepartureId>,
 }
 
-impl Trial {
-    /// Whether a word of that machine is for this attempt.
+impl OpenAttempt {
+    /// Whether a message of that machine about the job belongs to this attempt.
     pub fn is_answered_by(&self, machine: MachineId) -> bool {
-        self.machine == machine && self.left && self.fence.is_none()
+        self.machine == machine && self.sent && self.fence.is_none()
     }
 }
 
-/// A job and what came of it.
+/// A job and its state.
 #[derive(Debug)]
 pub struct Job {
-    /// Who waits.
+    /// The client that receives the answers.
     pub owner: Owner,
-    /// What travels on.
+    /// The data forwarded to the machine.
     pub spec: Arc<Spec>,
-    /// What the module knows.
+    /// The input of the placement decision.
     pub task: Task,
-    /// Where it stands.
+    /// The job's state.
     pub phase: Phase,
-    /// Offers made.
+    /// Count. Attempts so far, queued ones included.
     pub attempts: usize,
-    /// Where it stands or stood.
+    /// The machine at which the task runs or ran.
     pub machine: Option<MachineId>,
-    /// How the last attempt ended.
+    /// Outcome of the last attempt.
     pub last: Option<(Outcome, Reason)>,
-    /// When the owner may come back.
+    /// Seconds. Retry delay reported to the owner.
     pub retry_in_s: Seconds,
-    /// When the first attempt went out that may have run.
-    pub risky_since: Option<Seconds>,
-    /// Where that was.
-    pub(super) risky_at: Option<Spot>,
-    /// Whether that was an attempt of this very job, and not of one before it under its key.
-    pub(super) own_risk: bool,
-    /// Version of its last change.
+    /// Start time of the first attempt that may have run.
+    pub may_have_run_since: Option<Seconds>,
+    /// The location of that attempt's machine.
+    pub(super) may_have_run_location: Option<Location>,
+    /// Whether an attempt of this job may have run, rather than of an earlier job with the same key.
+    pub(super) own_attempt_may_have_run: bool,
+    /// Version of the last change.
     pub version: u64,
-    /// The limit by which it was given up.
+    /// The operators' limit that refused a further attempt.
     pub turned: Option<Turned>,
-    /// What it holds of the limits under which it was taken, until its final answer.
+    /// What the job holds of the limits' budgets, until its final answer.
     pub(super) ticket: Option<Ticket>,
-    /// An attempt of it was let out.
-    pub(super) tried: bool,
-    pub(super) trial: Option<Trial>,
-    /// Earlier attempts that left, until the final answer.
+    /// Whether an attempt was charged to the limits.
+    pub(super) charged: bool,
+    pub(super) open_attempt: Option<OpenAttempt>,
+    /// Earlier attempts that were sent; cleared when the task runs.
     pub(super) past: Vec<Past>,
-    /// An attempt was given up and its machine never said that it heard: it may be out for good.
-    pub(super) unheard: bool,
+    /// A cancelled or interrupted attempt was not confirmed by its machine and may still run; no further
+    /// attempt is made.
+    pub(super) unconfirmed: bool,
+    /// The time since which the task runs, as far as this planner knows.
     pub(super) placed_at: Seconds,
 }
 
 impl Core {
-    /// Whether a job is one that some machine could take, within the times that the settings know. What no machine
-    /// can ever take would only wait for its deadline, and a far deadline would be kept for good.
+    /// Checks that some machine could take the job and that its deadline is within the class's bounds. A job
+    /// that no machine can take would only wait for its deadline, and one with a distant deadline would stay
+    /// in memory.
     ///
     /// # Errors
-    /// Which of its figures is out of range.
+    /// The name of the field that is out of range.
     pub fn admits(&self, now: Seconds, ask: &Ask) -> Result<(), &'static str> {
         let room = ask.task.room;
         let class = self.settings.classes.get(ask.task.class).ok_or("class")?;
@@ -149,7 +161,7 @@
             (matches!(class.effect, Effect_::Keyed { .. }) && ask.spec.key.is_none(), "key"),
             (!(room.cores > 0.0 && room.memory > 0.0), "room"),
             (!kinds.any(|(_, kind)| room.within(limit(kind))), "room"),
-            (ask.task.deadline - now > class.deadline_s * MOST_WAIT_TIMES, "waiting time"),
+            (ask.task.deadline - now > class.deadline_s * MAX_WAIT_MULTIPLE, "waiting time"),
         ];
         faults.iter().find(|(wrong, _)| *wrong).map_or(Ok(()), |(_, what)| Err(*what))
     }
@@ -158,18 +170,19 @@
         let (id, owner) = (ask.job, ask.owner);
         ask.task.deadline = ask.task.deadline.min(self.answers_by);
         if self.jobs.contains_key(&id) {
-            return self.used_twice(now, id, owner, effects);
+            return self.reject_duplicate_id(now, id, owner, effects);
         }
-        // Its first copy may run: sent again, nobody could tell what an answer is for.
-        if self.ghosts.may_run(id) {
+        // A copy of an earlier job with this id may run, and answers could not be attributed to one of the
+        // two.
+        if self.possible_copies.may_run(id) {
             return effects.push(Effect::Failed { owner, job: id });
         }
-        let crowded = matches!(owner, Owner::Link(link) if self.owed(link).open >= MOST_ON_LINK);
-        if self.is_full() || crowded || now >= self.answers_by {
-            let (why, retry_in_s) = (Refusal::Busy, DOOR_RETRY_S);
+        let link_is_full = matches!(owner, Owner::Link(link) if self.owed(link).open >= MAX_PENDING_PER_LINK);
+        if self.is_full() || link_is_full || now >= self.answers_by {
+            let (why, retry_in_s) = (Refusal::Busy, BUSY_RETRY_S);
             return effects.push(Effect::Refused { owner, job: id, why, retry_in_s });
         }
-        let (ask, ticket) = match self.limit(now, ask) {
+        let (ask, ticket) = match self.apply_limits(now, ask) {
             Ok(taken) => taken,
             Err(turned) => {
                 let (why, retry_in_s) = (Refusal::Limit(turned.why), turned.retry_in_s);
@@ -182,14 +195,15 @@
             job.ticket = ticket;
         }
         self.changed(id, ChangeKind::Added, effects);
-        self.alarm(task.deadline + FORCED_ANSWER_S, Alarm::Answer(id));
-        self.feed(now, Event::Submitted { request: id, task }, effects);
+        self.alarm(task.deadline + FORCED_ANSWER_S, Alarm::ForceAnswer(id));
+        self.feed_placer(now, Event::Submitted { request: id, task }, effects);
     }
 
-    /// An id that is in use comes again. On another connection that is not its owner's doing, and nothing is said
-    /// there that could be taken for word of the first. On the same one nobody can tell which an answer is for: what
-    /// waits is failed, and no second answer is owed.
-    pub(super) fn used_twice(
+    /// Handles a submission with an id that is in use. On another connection the owner of the first job is
+    /// not at fault, and nothing is sent there that could be taken for an answer to the first job. On the
+    /// same connection answers could not be attributed: a pending job fails, and the second submission gets
+    /// no answer of its own.
+    pub(super) fn reject_duplicate_id(
         &mut self,
         now: Seconds,
         id: RequestId,
@@ -198,7 +212,7 @@
     ) {
         let first = self.jobs.get(&id).filter(|j| j.owner == owner && j.phase == Phase::Pending);
         if first.is_some() {
-            self.take_back(now, id, Final::Failed, effects);
+            self.withdraw(now, id, FinalAnswer::Failed, effects);
         }
         if let Owner::Link(link) = owner {
             effects.push(Effect::Expel { link });
@@ -206,16 +220,16 @@
     }
 
     pub(super) fn add(&mut self, now: Seconds, ask: Ask, phase: Phase) {
-        let (mut risky_since, mut risky_at) = (None, None);
+        let (mut may_have_run_since, mut may_have_run_location) = (None, None);
         if let (Some(key), Owner::Rest | Owner::Group { .. }) = (&ask.spec.key, ask.owner) {
             let at = (ask.spec.class.clone(), key.clone());
             let before = self.keys.insert(at, ask.job).and_then(|before| self.jobs.get(&before));
-            // A retry stays inside the window that its first try opened. What stood has ended for certain, and
-            // past the window an owner's ask is a placing of its own, as on the platform.
+            // A retry stays in the repeat window that the first try opened. A job that was running has
+            // certainly ended, and after the window a request counts as a new placement, as on the platform.
             let before = before.filter(|j| j.machine.is_none());
-            risky_at = before.and_then(|j| j.risky_at);
-            let risky = before.and_then(|j| j.risky_since);
-            risky_since = risky.filter(|&since| match self.settings.classes[ask.task.class].effect {
+            may_have_run_location = before.and_then(|j| j.may_have_run_location);
+            let risky = before.and_then(|j| j.may_have_run_since);
+            may_have_run_since = risky.filter(|&since| match self.settings.classes[ask.task.class].effect {
                 Effect_::Keyed { window_s, .. } => now < since + window_s,
                 _ => true,
             });
@@ -229,16 +243,16 @@
             machine: None,
             last: None,
             retry_in_s: 0.0,
-            risky_since,
-            risky_at: risky_at.filter(|_| risky_since.is_some()),
-            own_risk: false,
+            may_have_run_since,
+            may_have_run_location: may_have_run_location.filter(|_| may_have_run_since.is_some()),
+            own_attempt_may_have_run: false,
             version: 0,
             turned: None,
             ticket: None,
-            tried: false,
-            trial: None,
+            charged: false,
+            open_attempt: None,
             past: Vec::new(),
-            unheard: false,
+            unconfirmed: false,
             placed_at: 0.0,
         };
         match job.owner {
@@ -250,12 +264,12 @@
         }
         self.jobs.insert(ask.job, job);
         if phase == Phase::Pending {
-            self.count_waiting(ask.job, true);
+            self.count_pending(ask.job, true);
         }
     }
 
-    /// Books a job as one that waits, or as one that does so no more.
-    pub(super) fn count_waiting(&mut self, id: RequestId, waits: bool) {
+    /// Counts a job as pending, or removes it from the count.
+    pub(super) fn count_pending(&mut self, id: RequestId, waits: bool) {
         let Some(job) = self.jobs.get(&id) else { return };
         let step = |count: usize, by: usize| if waits { count + by } else { count.saturating_sub(by) };
         self.pending = step(self.pending, 1);
@@ -268,7 +282,7 @@
 
     pub(super) fn adopt(&mut self, now: Seconds, ask: Ask, machine: MachineId, effects: &mut Vec<Effect>) {
         if self.jobs.contains_key(&ask.job) {
-            return; // It may name what is held already.
+            return; // The owner may report a task that is already known.
         }
         let (id, task, owner) = (ask.job, ask.task, ask.owner);
         if self.jobs.len() - self.pending - self.over.len() >= self.keep.standing {
@@ -278,24 +292,25 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             (job.attempts, job.machine, job.placed_at) = (1, Some(machine), now);
         }
-        match self.nodes.stands(machine, id) {
-            Stands::First => effects.push(Effect::Watch { machine }),
-            Stands::BesideOthers => {}
-            // A machine that nobody knows will never tell of its end.
-            Stands::Unlisted => self.alarm(now + UNLISTED_S, Alarm::Unlisted(id)),
+        match self.nodes.add_running(machine, id) {
+            RunningAdded::First => effects.push(Effect::Watch { machine }),
+            RunningAdded::BesideOthers => {}
+            // No end can be reported by a machine to which there is no connection.
+            RunningAdded::Unlisted => self.alarm(now + UNLISTED_TIMEOUT_S, Alarm::UnlistedTimeout(id)),
         }
         self.changed(id, ChangeKind::Added, effects);
-        self.feed(now, Event::Resident { request: id, task, machine }, effects);
+        self.feed_placer(now, Event::Resident { request: id, task, machine }, effects);
     }
 
-    /// What stands needs no description any more, unless it can be looked at.
-    pub(super) fn lighten(&mut self, id: RequestId) {
+    /// Drops the description of a running task that came on a platform connection; REST clients can still
+    /// read theirs.
+    pub(super) fn drop_description(&mut self, id: RequestId) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|j| matches!(j.owner, Owner::Link(_))) {
             job.spec = Arc::new(Spec { body: String::new(), ..Spec::clone(&job.spec) });
         }
     }
 
-    /// The one final answer of the module; `retry_in_s` is there where it refuses.
+    /// Sends the final answer that the placer decided: a refusal if `retry_in_s` is set, else a failure.
     pub(super) fn answer(
         &mut self,
         now: Seconds,
@@ -327,42 +342,56 @@
         self.close(now, id, phase, effects);
     }
 
-    /// The owner gives a job up or ends a task.
+    /// Cancels a pending job or stops a running task, on its owner's request.
     pub(super) fn cancel(&mut self, now: Seconds, id: RequestId, cause: u8, effects: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(&id).filter(|j| !j.phase.is_over()) else { return };
         let (phase, machine, attempt) = (job.phase, job.machine, job.attempts.saturating_sub(1));
         if phase == Phase::Running {
             if let Some(machine) = machine {
                 effects.push(Effect::Stop { machine, job: id, cause });
-                self.unproved(id, machine);
+                self.record_possible_copy(id, machine);
             }
             self.close(now, id, Phase::Cancelled, effects);
-            self.feed(now, Event::Withdrawn { request: id }, effects);
-            self.feed(now, ended(id, attempt, Outcome::Cancelled, Reason::Unknown, true, None), effects);
+            self.feed_placer(now, Event::Withdrawn { request: id }, effects);
+            self.feed_placer(
+                now,
+                ended(id, attempt, Outcome::Cancelled, Reason::Unknown, true, None),
+                effects,
+            );
         } else {
-            self.take_back(now, id, Final::Unowed, effects);
+            self.withdraw(now, id, FinalAnswer::NoAnswer, effects);
         }
     }
 
-    /// Ends a job that waits, with a final answer or, where none is owed, without; the module hears of it.
-    pub(super) fn take_back(&mut self, now: Seconds, id: RequestId, last: Final, effects: &mut Vec<Effect>) {
-        let trial = self.give_up_trial(id, effects);
+    /// Ends a pending job, with a final answer unless the owner expects none, and informs the placer.
+    pub(super) fn withdraw(
+        &mut self,
+        now: Seconds,
+        id: RequestId,
+        last: FinalAnswer,
+        effects: &mut Vec<Effect>,
+    ) {
+        let open_attempt = self.cancel_open_attempt(id, effects);
         match last {
-            Final::Failed => self.answer(now, id, None, effects),
-            Final::Refused => self.answer(now, id, Some(DOOR_RETRY_S), effects),
-            Final::Unowed => self.close(now, id, Phase::Cancelled, effects),
+            FinalAnswer::Failed => self.answer(now, id, None, effects),
+            FinalAnswer::Refused => self.answer(now, id, Some(BUSY_RETRY_S), effects),
+            FinalAnswer::NoAnswer => self.close(now, id, Phase::Cancelled, effects),
         }
-        self.feed(now, Event::Withdrawn { request: id }, effects);
-        if let Some(trial) = trial {
-            let outcome = if trial.left { Outcome::Cancelled } else { Outcome::Moot };
-            self.feed(now, ended(id, trial.attempt, outcome, Reason::Unknown, true, None), effects);
+        self.feed_placer(now, Event::Withdrawn { request: id }, effects);
+        if let Some(open_attempt) = open_attempt {
+            let outcome = if open_attempt.sent { Outcome::Cancelled } else { Outcome::Moot };
+            self.feed_placer(
+                now,
+                ended(id, open_attempt.attempt, outcome, Reason::Unknown, true, None),
+                effects,
+            );
         }
     }
 
-    /// Takes a job out of the open ones; it can be looked at for a while where anybody can look.
+    /// Moves a job to a final state; it stays readable for a while if the core keeps finished jobs.
     pub(super) fn close(&mut self, now: Seconds, id: RequestId, phase: Phase, effects: &mut Vec<Effect>) {
         if self.jobs.get(&id).is_some_and(|j| j.phase == Phase::Pending) {
-            self.answered(now, id);
+            self.release_pending(now, id);
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
         match job.owner {
@@ -379,7 +408,7 @@
         }
         job.phase = phase;
         if let Some(machine) = job.machine {
-            self.nodes.stands_no_more(machine, id);
+            self.nodes.remove_running(machine, id);
         }
         if self.keep.over == 0 {
             self.jobs.remove(&id);
@@ -387,7 +416,7 @@
         }
         self.changed(id, ChangeKind::Modified, effects);
         self.over.push_back(id);
-        self.alarm(now + self.keep.over_s, Alarm::Forget(id));
+        self.alarm(now + self.keep.over_s, Alarm::ForgetJob(id));
         while self.over.len() > self.keep.over {
             if let Some(oldest) = self.over.front().copied() {
                 self.forget(oldest, effects);
@@ -408,7 +437,7 @@
         }
     }
 
-    /// Gives a job a new version, which watchers see.
+    /// Assigns a new version to a job and adds it to the history for watchers.
     pub(super) fn changed(&mut self, id: RequestId, kind: ChangeKind, effects: &mut Vec<Effect>) {
         let version = self.history.next_version();
         let Some(job) = self.jobs.get_mut(&id) else { return };
--- a/src/state/machines.rs
+++ b/src/state/machines.rs
@@ -1,19 +1,19 @@
-//! The machines: what the list says of them, and what follows where one is lost.
+//! The machines: updates of the machine list, and the consequences of a lost machine.
 
 use super::*;
 use crate::decide::silence::LOST_S;
 
-/// Seconds. So long a machine that drains and refuses connections is taken to hold what stands there. An end of
-/// which no word came is to be told within 8 s.
-const DRAIN_KEEPS_S: Seconds = 3.0;
-/// Count. Names kept of machines that are no more, before they are gone through.
-const OLD_NAMES: usize = 64;
+/// Seconds. Time for which a draining machine that refuses connections is assumed to keep its running tasks.
+/// An end that no message reports must reach the owner within 8 s.
+const DRAINING_KEEP_S: Seconds = 3.0;
+/// Count. Names of former machines that are kept before unused names are removed.
+const UNUSED_NAMES_KEPT: usize = 64;
 
-/// The cause by which a machine is told to cut a task that counts as lost.
-pub(super) const CUT: u8 = 41;
+/// The cause code of an order to stop a task that counts as lost or whose group is stopped.
+pub(super) const CAUSE_CUT: u8 = 41;
 
 impl Core {
-    /// Gives a machine a new version, which watchers see.
+    /// Assigns a new version to a machine and adds it to the history for watchers.
     pub(super) fn machine_changed(&mut self, id: MachineId, kind: ChangeKind, effects: &mut Vec<Effect>) {
         let version = self.history.next_version();
         let Some(node) = self.nodes.get_mut(id) else { return };
@@ -25,7 +25,7 @@
         }
     }
 
-    pub(super) fn list(
+    pub(super) fn apply_list(
         &mut self,
         now: Seconds,
         kind: ListKind,
@@ -37,41 +37,42 @@
             let missing = self.nodes.iter().filter(|(id, _)| !named.contains(id));
             notices.extend(missing.map(|(_, node)| gone(node)));
         }
-        self.replace(&mut notices);
+        self.resolve_address_conflicts(&mut notices);
         let restarted: Vec<(MachineId, Seconds)> =
-            notices.iter().filter_map(|n| self.notice(n, effects)).collect();
+            notices.iter().filter_map(|n| self.update_machine(n, effects)).collect();
         let entries: Vec<Entry> = notices.into_iter().map(|n| n.entry).collect();
         let gone: Vec<MachineId> =
             entries.iter().filter(|e| e.standing == Standing::Gone).map(|e| e.machine).collect();
-        // The module hears of drains before what they set free is placed again.
-        self.feed(now, Event::List { kind, entries }, effects);
+        // The placer is informed of drains first, so that the jobs they release are not placed there again.
+        self.feed_placer(now, Event::List { kind, entries }, effects);
         for (machine, started) in restarted {
-            // Its process came up anew: what stood there before did not survive it.
-            self.lose(now, machine, started, effects);
+            // The machine's process restarted: tasks that ran there before are lost.
+            self.lose_running_tasks(now, machine, started, effects);
             self.prove_all_gone(machine);
-            // What waits in its queue was decided for a warm machine: all planners' queues at once may push a cold one over.
-            self.take_back_queued(now, machine, effects);
+            // Attempts in the send queue were decided for a warm machine. Sent by all planners at once, they
+            // could overload a cold one.
+            self.withdraw_queued(now, machine, effects);
         }
         for machine in gone {
-            self.depart(now, machine, effects);
+            self.begin_departure(now, machine, effects);
         }
-        self.forget_names();
+        self.prune_names();
         for machine in self.nodes.not_ready() {
-            self.take_back_queued(now, machine, effects);
+            self.withdraw_queued(now, machine, effects);
         }
     }
 
-    /// What waits in a machine's queue is taken back and decided anew.
-    fn take_back_queued(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
-        for job in self.tried(machine, |t| !t.left) {
+    /// Cancels the attempts that are queued for a machine, so that the placer decides again.
+    fn withdraw_queued(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
+        for job in self.open_attempts_at(machine, |t| !t.sent) {
             effects.push(Effect::GiveUp { machine, job });
-            self.trial_over(now, job, Outcome::Moot, Reason::Unknown, None, effects);
+            self.end_attempt(now, job, Outcome::Moot, Reason::Unknown, None, effects);
         }
     }
 
-    /// Where a machine is told of at the address of another, the one that started later has it. The other is gone,
-    /// though the list does not say so yet: what is sent to it would reach its successor.
-    pub(super) fn replace(&self, notices: &mut Vec<Notice>) {
+    /// If two machines have the same address, the one that started later owns it. The other counts as gone,
+    /// although the list does not say so yet: messages for it would reach its successor.
+    pub(super) fn resolve_address_conflicts(&self, notices: &mut Vec<Notice>) {
         let mut replaced = Vec::new();
         for notice in notices.iter_mut().filter(|n| n.entry.standing != Standing::Gone) {
             let Some(other) = self.nodes.other_at(&notice.address, notice.entry.machine) else { continue };
@@ -86,17 +87,18 @@
         notices.splice(0..0, replaced);
     }
 
-    /// Forgets the names of machines that nothing refers to any more.
-    pub(super) fn forget_names(&mut self) {
-        if self.words.machines() > 2 * self.nodes.len() + OLD_NAMES {
+    /// Removes the names of machines to which nothing refers any more.
+    pub(super) fn prune_names(&mut self) {
+        if self.vocabulary.machines() > 2 * self.nodes.len() + UNUSED_NAMES_KEPT {
             let of_jobs = self.jobs.values().filter_map(|j| j.machine);
             let used: BTreeSet<MachineId> = self.nodes.iter().map(|(id, _)| id).chain(of_jobs).collect();
-            self.words.keep_machines(|id| used.contains(&id));
+            self.vocabulary.keep_machines(|id| used.contains(&id));
         }
     }
 
-    /// Books what the list says of one machine; tells when it started if it came up anew under its old name.
-    pub(super) fn notice(
+    /// Applies the list's entry for one machine. Returns the machine's start time if it restarted under its
+    /// former name.
+    pub(super) fn update_machine(
         &mut self,
         notice: &Notice,
         effects: &mut Vec<Effect>,
@@ -127,8 +129,8 @@
         restarted.then_some((id, entry.started))
     }
 
-    /// Ends what stood at a machine since before that time.
-    pub(super) fn lose(
+    /// Ends the tasks that have been running at a machine since before the given time, as lost.
+    pub(super) fn lose_running_tasks(
         &mut self,
         now: Seconds,
         machine: MachineId,
@@ -137,17 +139,18 @@
     ) {
         let Some(node) = self.nodes.get(machine) else { return };
         let old = |id: &RequestId| self.jobs.get(id).is_some_and(|j| j.placed_at < before);
-        let lost: Vec<RequestId> = node.standing.iter().copied().filter(old).collect();
+        let lost: Vec<RequestId> = node.running.iter().copied().filter(old).collect();
         for job in lost {
-            // Should the machine only have been cut off, its copy must not run on behind the owner's back.
-            effects.push(Effect::Stop { machine, job, cause: CUT });
-            self.unproved(job, machine);
-            self.standing_over(now, job, Outcome::Lost, Reason::Unknown, None, effects);
+            // If the machine is only unreachable, its copy must not run on without the owner's knowledge.
+            effects.push(Effect::Stop { machine, job, cause: CAUSE_CUT });
+            self.record_possible_copy(job, machine);
+            self.end_running_task(now, job, Outcome::Lost, Reason::Unknown, None, effects);
         }
     }
 
-    /// A process that is gone refuses connections, and so does one that drains. What stands at the latter goes on
-    /// until the list calls it gone, or until its end, untold, would come to its owner too late.
+    /// Handles a refused connection. Both a dead process and a draining one refuse connections. Tasks on a
+    /// draining machine are kept until the list calls the machine gone, or until an unreported end would
+    /// reach the owner too late.
     pub(super) fn dial_refused(
         &mut self,
         now: Seconds,
@@ -157,14 +160,14 @@
     ) {
         let drains = self.nodes.get_mut(machine).filter(|n| n.entry().standing == Standing::Draining);
         let since = drains.map(|node| *node.refuses_since.get_or_insert(now));
-        if since.is_some_and(|since| now < since + DRAIN_KEEPS_S) && quiet_s < LOST_S {
-            return self.break_trials(now, machine, false, Reason::Unknown, effects);
+        if since.is_some_and(|since| now < since + DRAINING_KEEP_S) && quiet_s < LOST_S {
+            return self.end_attempts(now, machine, false, Reason::Unknown, effects);
         }
         self.machine_lost(now, machine, true, effects);
     }
 
-    /// A machine counts as lost with what stood there. What left for it is over only where that is proved: it may be out on
-    /// a connection that is up.
+    /// Handles the loss of a machine and its running tasks. Attempts that were sent end only if the loss is
+    /// proved: otherwise they may still be open on a working connection.
     pub(super) fn machine_lost(
         &mut self,
         now: Seconds,
@@ -172,32 +175,32 @@
         proved: bool,
         effects: &mut Vec<Effect>,
     ) {
-        self.lose(now, machine, f64::INFINITY, effects);
-        self.break_trials(now, machine, false, Reason::Unknown, effects);
+        self.lose_running_tasks(now, machine, f64::INFINITY, effects);
+        self.end_attempts(now, machine, false, Reason::Unknown, effects);
         if proved {
-            self.break_trials(now, machine, true, Reason::Unknown, effects);
+            self.end_attempts(now, machine, true, Reason::Unknown, effects);
             self.prove_all_gone(machine);
         }
     }
 
-    /// A machine leaves the list: what stood there counts as lost, what is queued for it never ran, and what left for it is
-    /// given up, and out until its connection has ended.
-    fn depart(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
-        self.lose(now, machine, f64::INFINITY, effects);
-        self.break_trials(now, machine, false, Reason::Unknown, effects);
-        let jobs = self.tried(machine, |t| t.left);
+    /// Handles a machine's leaving the list: its running tasks count as lost, queued attempts never ran, and
+    /// attempts that were sent are cancelled but stay open until the connection has ended.
+    fn begin_departure(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
+        self.lose_running_tasks(now, machine, f64::INFINITY, effects);
+        self.end_attempts(now, machine, false, Reason::Unknown, effects);
+        let jobs = self.open_attempts_at(machine, |t| t.sent);
         self.machine_changed(machine, ChangeKind::Deleted, effects);
         let departure = self.departures.begin(machine, jobs.iter().copied().collect());
         for &job in &jobs {
-            if let Some(trial) = self.jobs.get_mut(&job).and_then(|j| j.trial.as_mut()) {
-                trial.departure = Some(departure);
+            if let Some(open_attempt) = self.jobs.get_mut(&job).and_then(|j| j.open_attempt.as_mut()) {
+                open_attempt.departure = Some(departure);
             }
             if let Some(node) = self.nodes.get_mut(machine) {
-                node.trying.remove(&job);
+                node.open_attempts.remove(&job);
             }
         }
         for job in jobs {
-            self.give_up_left(now, job, effects);
+            self.cancel_sent_attempt(now, job, effects);
         }
         if self.nodes.remove(machine).is_some() {
             effects.push(Effect::Disconnect { machine, departure });
@@ -206,8 +209,8 @@
         }
     }
 
-    /// The connection to a machine that left the list has ended, and its attempts with it.
-    pub(super) fn departed(
+    /// Handles the end of the connection to a machine that left the list; its attempts end with it.
+    pub(super) fn end_departure(
         &mut self,
         now: Seconds,
         departure: DepartureId,
@@ -216,16 +219,16 @@
     ) {
         let Some(Departed { machine, jobs }) = self.departures.end(departure) else { return };
         for job in jobs {
-            self.departure_ended(now, job, proved, effects);
+            self.end_departed_attempt(now, job, proved, effects);
         }
-        // Should it be back already, what is booked there is of its new process, too.
+        // If the machine is listed again, copies recorded there may belong to its new process.
         if !self.nodes.contains(machine) {
             self.prove_all_gone(machine);
         }
     }
 }
 
-/// The notice that a machine is gone.
+/// The list update that marks a machine as gone.
 fn gone(node: &Node) -> Notice {
     Notice { entry: Entry { standing: Standing::Gone, ..node.entry() }, address: node.address().to_string() }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,37 +1,40 @@
-//! What the planner keeps in memory. Every change goes through [`Core::apply`], which asks for effects and
-//! carries out none: no I/O, no clock, no word of any wire.
+//! The planner's state in memory. Every change goes through [`Core::apply`], which returns effects and
+//! performs none itself: no I/O, no clock, no wire formats.
 //!
-//! The decisions are the [`Placer`]'s. What is added here are the guards that hold whatever it decides: one
-//! attempt out, no send to a machine that drains, the repeat window, and exactly one final answer.
+//! The [`Placer`] makes the placement decisions. This module adds the guards that hold whatever the placer
+//! decides: one open attempt per job, no send to a draining machine, the repeat window, and exactly one final
+//! answer.
 
 mod alarms;
 mod attempts;
 mod departures;
 mod fleet;
-mod ghosts;
 mod groups;
 mod history;
+mod interface;
 mod jobs;
 mod limits;
 mod machine_table;
 mod machines;
+mod possible_copies;
 mod shutdown;
 mod views;
-mod words;
 
 use alarms::Alarm;
 pub use departures::DepartureId;
 use departures::{Departed, Departures};
 pub use fleet::FleetView;
-use ghosts::Ghosts;
 use groups::Groups;
 pub use groups::{GroupView, MemberView};
 pub use history::{Change, ChangeKind, History, Resume};
-use jobs::{Final, Job, Trial};
-use limits::InForce;
-use machine_table::{MachineTable, Node, Stands};
+pub use interface::{
+    Ask, Effect, GroupAsk, GroupId, Input, Keep, LinkLoad, Notice, Owner, Phase, Refusal, Spec,
+};
+use jobs::{FinalAnswer, Job, OpenAttempt};
+use limits::ActiveLimits;
+use machine_table::{MachineTable, Node, RunningAdded};
+use possible_copies::PossibleCopies;
 pub use views::{JobView, MachineView, Object};
-pub use words::{Ask, Effect, GroupAsk, GroupId, Input, Keep, Notice, Owed, Owner, Phase, Refusal, Spec};
 
 use crate::decide::limits::{Front, Limits, Resolved, Subject, Table, Ticket, Turned};
 use crate::placer::Effect as Effect_;
@@ -43,55 +46,63 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::sync::Arc;
 
-/// The jobs of one connection that are not over.
+/// The jobs of one client connection that are not over.
 #[derive(Default)]
 struct LinkJobs {
     jobs: BTreeSet<RequestId>,
+    /// Count. The pending ones of these jobs.
     open: usize,
 }
 
-/// The one reducer.
+/// The reducer that holds all state of the planner.
 pub struct Core {
     placer: Placer,
     seed: u64,
     settings: Settings,
-    words: Vocabulary,
+    vocabulary: Vocabulary,
     jobs: BTreeMap<RequestId, Job>,
     nodes: MachineTable,
+    /// The newest job of each class and idempotency key.
     keys: BTreeMap<(String, String), RequestId>,
-    /// The jobs that are not over, by the connection that they came on.
+    /// The jobs that are not over, by the client connection on which they came.
     links: BTreeMap<u64, LinkJobs>,
     alarms: BinaryHeap<Reverse<(u64, Alarm)>>,
+    /// Finished jobs that are kept for reading, oldest first.
     over: VecDeque<RequestId>,
     pending: usize,
-    /// What the jobs that wait take.
+    /// Bytes taken by the pending jobs.
     pending_bytes: usize,
     open_rest: usize,
-    /// Asks for proof so far.
-    asks: u64,
+    /// The number of the last connection check; each check has a new number.
+    last_fence: u64,
     keep: Keep,
     history: History,
-    limits: InForce,
+    limits: ActiveLimits,
     groups: Groups,
-    ghosts: Ghosts,
+    possible_copies: PossibleCopies,
     departures: Departures,
-    /// By when every request is answered, where the planner stops.
+    /// Seconds. Time by which every request is answered; infinite unless the planner is shutting down.
     answers_by: Seconds,
 }
 
 impl Core {
-    /// A core that knows only its settings.
+    /// Creates a core without machines or jobs.
     ///
     /// # Errors
     /// If the settings cannot be served.
-    pub fn new(settings: Settings, words: Vocabulary, seed: u64, keep: Keep) -> Result<Self, SettingsError> {
+    pub fn new(
+        settings: Settings,
+        vocabulary: Vocabulary,
+        seed: u64,
+        keep: Keep,
+    ) -> Result<Self, SettingsError> {
         let placer = Placer::new(settings.clone(), seed)?;
-        let limits = InForce::new(Limits::new(&settings, words.classes().to_vec()));
+        let limits = ActiveLimits::new(Limits::new(&settings, vocabulary.classes().to_vec()));
         Ok(Core {
             placer,
             seed,
             settings,
-            words,
+            vocabulary,
             jobs: BTreeMap::new(),
             nodes: MachineTable::default(),
             keys: BTreeMap::new(),
@@ -101,40 +112,40 @@
             pending: 0,
             pending_bytes: 0,
             open_rest: 0,
-            asks: 0,
+            last_fence: 0,
             keep,
             history: History::new(keep.history),
             limits,
             groups: Groups::default(),
-            ghosts: Ghosts::default(),
+            possible_copies: PossibleCopies::default(),
             departures: Departures::default(),
             answers_by: f64::INFINITY,
         })
     }
 
-    /// The names of the settings.
+    /// The vocabulary that maps names of machines, zones and classes to ids.
     pub fn words(&mut self) -> &mut Vocabulary {
-        &mut self.words
+        &mut self.vocabulary
     }
 
     /// The name of a machine.
     pub fn name(&self, machine: MachineId) -> String {
-        self.words.name(machine)
+        self.vocabulary.name(machine)
     }
 
-    /// The planner's seed, new with each start.
+    /// The planner's random seed, new with each start.
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// Whether an attempt that left is out at a machine.
+    /// Whether an attempt that was sent to the machine is still open.
     pub fn is_open_at(&self, machine: MachineId) -> bool {
-        !self.tried(machine, |t| t.left).is_empty()
+        !self.open_attempts_at(machine, |t| t.sent).is_empty()
     }
 
-    /// A task that stands at a machine.
+    /// The first of the tasks that run at a machine.
     pub fn one_at(&self, machine: MachineId) -> Option<RequestId> {
-        self.nodes.get(machine).and_then(|n| n.standing.first().copied())
+        self.nodes.get(machine).and_then(|n| n.running.first().copied())
     }
 
     /// The settings.
@@ -142,133 +153,133 @@
         &self.settings
     }
 
-    /// Jobs that wait for their final answer, and groups that do.
+    /// Number of jobs and groups that wait for their final answer.
     pub fn pending(&self) -> usize {
         self.pending + self.groups.unanswered()
     }
 
-    /// Whether no further job is taken.
+    /// Whether the memory for pending jobs is used up, so that new jobs are refused.
     pub fn is_full(&self) -> bool {
         self.pending_bytes >= self.keep.waiting_bytes
     }
 
-    /// What is owed on a connection.
-    pub fn owed(&self, link: u64) -> Owed {
+    /// The numbers of pending jobs and running tasks of a client connection.
+    pub fn owed(&self, link: u64) -> LinkLoad {
         self.links
             .get(&link)
-            .map_or(Owed::default(), |of| Owed { open: of.open, standing: of.jobs.len() - of.open })
+            .map_or(LinkLoad::default(), |of| LinkLoad { open: of.open, standing: of.jobs.len() - of.open })
     }
 
-    /// The jobs that came on a connection and wait for their final answer.
-    fn open_on(&self, link: u64) -> Vec<RequestId> {
+    /// The pending jobs of a client connection.
+    fn pending_on(&self, link: u64) -> Vec<RequestId> {
         let open = |id: &RequestId| self.jobs.get(id).is_some_and(|j| j.phase == Phase::Pending);
         self.links.get(&link).map_or(vec![], |of| of.jobs.iter().copied().filter(open).collect())
     }
 
-    /// Tasks that stand at a machine.
+    /// Number of tasks that run at a machine.
     pub fn standing_at(&self, machine: MachineId) -> usize {
-        self.nodes.get(machine).map_or(0, |n| n.standing.len())
+        self.nodes.get(machine).map_or(0, |n| n.running.len())
     }
 
-    /// A job that is known still.
+    /// A job, unless it was never submitted or is already forgotten.
     pub fn job(&self, id: RequestId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// The newest job of a class with that key.
+    /// The newest job of a class with that idempotency key.
     pub fn keyed(&self, class: &str, key: &str) -> Option<RequestId> {
         self.keys.get(&(class.to_string(), key.to_string())).copied()
     }
 
-    /// What can be watched.
+    /// The history of changes, from which watchers read.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Machines that all picks so far have looked at.
+    /// Count. Machines that the placer has examined in all its decisions so far.
     pub fn looked_at(&self) -> u64 {
         self.placer.looked_at
     }
 
-    /// Jobs of the REST front that wait or run.
+    /// Number of REST jobs that are pending or running.
     pub fn open_rest_jobs(&self) -> usize {
         self.open_rest
     }
 
-    /// Takes in one thing that happened, and appends what is to be done about it.
+    /// Handles one input and appends the resulting effects.
     pub fn apply(&mut self, now: Seconds, input: Input, effects: &mut Vec<Effect>) {
         let from = effects.len();
-        self.take_in(now, input, effects);
+        self.handle_input(now, input, effects);
         self.settle_groups(now, from, effects);
     }
 
-    fn take_in(&mut self, now: Seconds, input: Input, effects: &mut Vec<Effect>) {
+    fn handle_input(&mut self, now: Seconds, input: Input, effects: &mut Vec<Effect>) {
         match input {
-            Input::List { kind, notices } => self.list(now, kind, notices, effects),
+            Input::List { kind, notices } => self.apply_list(now, kind, notices, effects),
             Input::Submit(ask) => self.submit(now, ask, effects),
             Input::Adopt { ask, machine } => self.adopt(now, ask, machine, effects),
             Input::Cancel { job, cause } => self.cancel(now, job, cause, effects),
             Input::OwnerGone { link } => {
-                for job in self.open_on(link) {
+                for job in self.pending_on(link) {
                     self.cancel(now, job, 0, effects);
                 }
             }
             Input::OwnerFaulty { link } => {
-                for job in self.open_on(link) {
-                    self.take_back(now, job, Final::Failed, effects);
+                for job in self.pending_on(link) {
+                    self.withdraw(now, job, FinalAnswer::Failed, effects);
                 }
             }
             Input::Sent { job, attempt } => {
-                let trial = self.jobs.get_mut(&job).and_then(|j| j.trial.as_mut());
-                if let Some(trial) = trial.filter(|t| t.attempt == attempt) {
-                    trial.left = true;
+                let open_attempt = self.jobs.get_mut(&job).and_then(|j| j.open_attempt.as_mut());
+                if let Some(open_attempt) = open_attempt.filter(|t| t.attempt == attempt) {
+                    open_attempt.sent = true;
                 }
             }
             Input::Bound { machine, job, body } => self.bound(now, machine, job, body, effects),
             Input::SubmitGroup(ask) => self.submit_group(now, ask, effects),
-            Input::CancelGroup { group } => self.group_hears(now, group, groups::Event::Cancel, effects),
+            Input::CancelGroup { group } => self.on_group_event(now, group, groups::Event::Cancel, effects),
             Input::Draining { until } => self.shut_down(now, until, effects),
             Input::Join { plan, life } => self.join(now, &plan, life),
-            Input::Peer { from, words } => self.hear_peer(now, from, words, effects),
-            Input::LinkUp { machine } => self.cut_again(machine, effects),
+            Input::Peer { from, words } => self.handle_peer_messages(now, from, words, effects),
+            Input::LinkUp { machine } => self.resend_cuts(machine, effects),
             Input::Ended { machine, job, before, after, why, report } => {
                 self.prove_gone(job, machine);
                 let Some(known) = self.jobs.get(&job) else { return };
-                // What is still in the queue, or stands behind a test that is not answered, cannot have been
-                // answered: that was for an earlier attempt.
-                if known.trial.is_some_and(|t| t.is_answered_by(machine)) {
-                    self.trial_over(now, job, before, why, report, effects);
+                // An attempt that is still queued, or whose preceding connection check is unanswered, cannot
+                // have been answered: the message belongs to an earlier attempt.
+                if known.open_attempt.is_some_and(|t| t.is_answered_by(machine)) {
+                    self.end_attempt(now, job, before, why, report, effects);
                 } else if known.phase == Phase::Running && known.machine == Some(machine) {
-                    self.standing_over(now, job, after, why, report, effects);
+                    self.end_running_task(now, job, after, why, report, effects);
                 }
             }
-            Input::Heard { machine, ask } => self.heard(now, machine, ask, effects),
+            Input::Heard { machine, ask } => self.fence_answered(now, machine, ask, effects),
             Input::Noted { machine, job, note } => {
                 let Some(known) = self.jobs.get(&job) else { return };
-                let here =
-                    known.machine == Some(machine) || known.trial.is_some_and(|t| t.machine == machine);
+                let here = known.machine == Some(machine)
+                    || known.open_attempt.is_some_and(|t| t.machine == machine);
                 if here && known.attempts > 0 {
                     let attempt = known.attempts - 1;
-                    self.feed(now, Event::Noted { request: job, attempt, note }, effects);
+                    self.feed_placer(now, Event::Noted { request: job, attempt, note }, effects);
                 }
             }
             Input::Probed { machine, outcome, report } => {
-                self.feed(now, Event::Probed { machine, outcome, report }, effects);
+                self.feed_placer(now, Event::Probed { machine, outcome, report }, effects);
             }
-            Input::DialFailed { machine } => self.break_trials(now, machine, false, Reason::Unknown, effects),
+            Input::DialFailed { machine } => self.end_attempts(now, machine, false, Reason::Unknown, effects),
             Input::DialRefused { machine, quiet_s } => self.dial_refused(now, machine, quiet_s, effects),
             Input::LinkBroken { machine, proved } => self.link_broken(now, machine, proved, effects),
-            Input::Departed { departure, proved } => self.departed(now, departure, proved, effects),
+            Input::Departed { departure, proved } => self.end_departure(now, departure, proved, effects),
             Input::MachineLost { machine, proved } => self.machine_lost(now, machine, proved, effects),
-            Input::Limits { table, digest } => self.take_limits(now, table, digest),
+            Input::Limits { table, digest } => self.activate_limits(now, table, digest),
             Input::GroupSettings(settings) => self.groups.settings = settings,
             Input::LimitsRefused { why } => self.limits.refuse(now, why),
             Input::Tick => self.tick(now, effects),
         }
     }
 
-    /// Lets the module hear an event and carries out what it decides, until it asks for nothing more.
-    fn feed(&mut self, now: Seconds, event: Event, effects: &mut Vec<Effect>) {
+    /// Passes an event to the placer and carries out its decisions, until no further event follows from them.
+    fn feed_placer(&mut self, now: Seconds, event: Event, effects: &mut Vec<Effect>) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
@@ -276,8 +287,10 @@
             for action in actions.drain(..) {
                 match action {
                     Action::Bind { request, machine, give_up_at } => {
-                        if let Some(moot) = self.bind(now, request, machine, give_up_at, effects) {
-                            events.push_back(moot);
+                        if let Some(forbidden) =
+                            self.start_attempt(now, request, machine, give_up_at, effects)
+                        {
+                            events.push_back(forbidden);
                         }
                     }
                     Action::Refuse { request, retry_in_s } => {
--- a/src/state/shutdown.rs
+++ b/src/state/shutdown.rs
@@ -1,9 +1,9 @@
-//! The stop of the planner: every request has its answer before the process may be killed.
+//! Shutdown of the planner: every request is answered before the process may be killed.
 
 use super::*;
 
 impl Core {
-    /// The planner stops: all that waits is answered by that time, and what comes later is refused.
+    /// Starts the shutdown: all pending jobs are answered by `until`, and later ones are refused.
     pub(super) fn shut_down(&mut self, now: Seconds, until: Seconds, effects: &mut Vec<Effect>) {
         self.leave_fleet();
         self.stop_groups(now, effects);
@@ -17,27 +17,29 @@
         }
     }
 
-    /// Answers all that waits: as refused what never ran, as failed what may have.
+    /// Answers all pending jobs: as refused those that never ran, as failed those that may have.
     pub(super) fn answer_all(&mut self, now: Seconds, effects: &mut Vec<Effect>) {
         if now < self.answers_by {
             return;
         }
         let waits = self.jobs.iter().filter(|(_, job)| job.phase == Phase::Pending);
-        let waits: Vec<(RequestId, Final)> = waits.map(|(&id, job)| (id, last_word(job))).collect();
+        let waits: Vec<(RequestId, FinalAnswer)> =
+            waits.map(|(&id, job)| (id, final_answer_for(job))).collect();
         if !waits.is_empty() {
             effects.push(Effect::CutShort { requests: waits.len() as u64 });
         }
         for (id, last) in waits {
-            self.take_back(now, id, last, effects);
+            self.withdraw(now, id, last, effects);
         }
     }
 }
 
-fn last_word(job: &Job) -> Final {
-    let may_have_run = job.risky_since.is_some() || job.trial.is_some_and(|trial| trial.left);
+fn final_answer_for(job: &Job) -> FinalAnswer {
+    let may_have_run =
+        job.may_have_run_since.is_some() || job.open_attempt.is_some_and(|open_attempt| open_attempt.sent);
     if may_have_run {
-        Final::Failed
+        FinalAnswer::Failed
     } else {
-        Final::Refused
+        FinalAnswer::Refused
     }
 }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -1,28 +1,28 @@
-//! The guards of the reducer, each at its edge, on a clock of the test's own.
+//! The guards of the reducer, each at its boundary, on a simulated clock.
 
-use super::jobs::{JOB_BYTES, MOST_ON_LINK};
-use super::machines::CUT;
+use super::jobs::{JOB_BYTES, MAX_PENDING_PER_LINK};
+use super::machines::CAUSE_CUT;
 use super::*;
 use crate::vocabulary;
 use serde_json::json;
 
-/// A core with machines 0 and 1, and what it asked for last.
+/// A core with a simulated clock; [`Bench::new`] adds the machines 0 and 1.
 struct Bench {
     core: Core,
     now: Seconds,
 }
 
-/// A core that knows no machine.
+/// A core without machines.
 pub(crate) fn core(idempotency: &str) -> Core {
-    core_of(idempotency, "all")
+    core_in_place(idempotency, "all")
 }
 
-fn core_of(idempotency: &str, group: &str) -> Core {
+fn core_in_place(idempotency: &str, group: &str) -> Core {
     core_with(idempotency, group, 6.0)
 }
 
-/// A core whose window for repeats lasts so long.
-fn core_within(idempotency: &str, window_s: Seconds) -> Core {
+/// A core with the given repeat window.
+fn core_with_window(idempotency: &str, window_s: Seconds) -> Core {
     core_with(idempotency, "all", window_s)
 }
 
@@ -53,20 +53,23 @@
             let entry = Entry { machine, key, zone, cell, kind: Some(0), standing, free, started: 0.0 };
             Notice { entry, address: format!("a:{}", n % 10) }
         };
-        self.tell(Input::List { kind: ListKind::Changes, notices: machines.iter().map(notice).collect() })
+        self.apply_input(Input::List {
+            kind: ListKind::Changes,
+            notices: machines.iter().map(notice).collect(),
+        })
     }
 
-    fn tell(&mut self, input: Input) -> Vec<Effect> {
+    fn apply_input(&mut self, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.core.apply(self.now, input, &mut effects);
-        // What is for logs alone is not looked at here.
+        // Effects that serve only watchers and logs are not checked here.
         effects.retain(|e| !matches!(e, Effect::Changed | Effect::AttemptOver { .. }));
         effects
     }
 
-    fn at(&mut self, now: Seconds) -> Vec<Effect> {
+    fn tick_at(&mut self, now: Seconds) -> Vec<Effect> {
         self.now = now;
-        self.tell(Input::Tick)
+        self.apply_input(Input::Tick)
     }
 
     fn submit(&mut self, job: u64, key: Option<&str>) -> Vec<Effect> {
@@ -81,20 +84,20 @@
         };
         let spec = Spec { class: "c".into(), key: key.map(str::to_string), ..Spec::default() };
         let owner = if key.is_some() { Owner::Rest } else { Owner::Link(1) };
-        self.tell(Input::Submit(Ask { job: RequestId(job), owner, spec: Arc::new(spec), task }))
+        self.apply_input(Input::Submit(Ask { job: RequestId(job), owner, spec: Arc::new(spec), task }))
     }
 
     fn sent(&mut self, job: u64, attempt: AttemptNo) {
-        self.tell(Input::Sent { job: RequestId(job), attempt });
+        self.apply_input(Input::Sent { job: RequestId(job), attempt });
     }
 
     fn end(&mut self, machine: MachineId, job: u64, before: Outcome) -> Vec<Effect> {
         let (after, why) = (Outcome::Ok, Reason::LineFull);
-        self.tell(Input::Ended { machine, job: RequestId(job), before, after, why, report: None })
+        self.apply_input(Input::Ended { machine, job: RequestId(job), before, after, why, report: None })
     }
 
     fn bound(&mut self, machine: MachineId, job: u64) -> Vec<Effect> {
-        self.tell(Input::Bound { machine, job: RequestId(job), body: String::new() })
+        self.apply_input(Input::Bound { machine, job: RequestId(job), body: String::new() })
     }
 }
 
@@ -108,20 +111,21 @@
     effects.iter().filter(is).count()
 }
 
-/// Guards against an answer to an earlier attempt that ends one which has not even been sent.
+/// Guards against an answer to an earlier attempt that ends a later attempt which was not even sent.
 #[test]
-fn what_has_not_left_cannot_be_answered() {
+fn an_unsent_attempt_cannot_be_answered() {
     let mut bench = Bench::new("repeatable");
     let at = launched(&bench.submit(1, None)).expect("a launch");
     assert!(bench.bound(at, 1).is_empty() && bench.end(at, 1, Outcome::Full).is_empty());
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     assert_eq!(answers(&bench.bound(at, 1)), 1);
-    assert!(bench.bound(at, 1).is_empty(), "one answer, and no more");
+    assert!(bench.bound(at, 1).is_empty(), "exactly one answer");
 }
 
-/// Guards rule 3: a set-up that waits in a queue when its machine drains is taken back and goes elsewhere.
+/// Guards rule 3: an attempt that is still queued when its machine starts to drain is cancelled and goes to
+/// another machine.
 #[test]
-fn a_drain_takes_back_what_has_not_left() {
+fn a_drain_cancels_queued_attempts() {
     let mut bench = Bench::new("once");
     let at = launched(&bench.submit(1, None)).expect("a launch");
     let effects = bench.list(&[(at.0, Standing::Draining)]);
@@ -129,86 +133,90 @@
     assert_eq!(launched(&effects), Some(MachineId(1 - at.0)));
 }
 
-/// Guards rule 2: what never left never ran, so that even a task that must run once goes out again.
+/// Guards rule 2: an attempt that was never sent never ran, so that even a task that must run at most once is
+/// attempted again.
 #[test]
-fn only_what_left_may_have_run() {
+fn only_a_sent_attempt_may_have_run() {
     for left in [false, true] {
         let mut bench = Bench::new("once");
         let at = launched(&bench.submit(1, None)).expect("a launch");
         if left {
-            bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+            bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
         }
-        let effects = bench.tell(Input::MachineLost { machine: at, proved: true });
+        let effects = bench.apply_input(Input::MachineLost { machine: at, proved: true });
         assert_eq!(launched(&effects).is_some(), !left);
         assert_eq!(effects.contains(&Effect::Failed { owner: Owner::Link(1), job: RequestId(1) }), left);
     }
 }
 
-/// Guards rule 1: whatever becomes of it, a job has exactly one final answer, and none once its owner left.
+/// Guards rule 1: a job has exactly one final answer whatever happens to it, and none after its owner
+/// disconnected.
 #[test]
-fn one_answer_is_owed_and_given() {
+fn a_job_has_exactly_one_answer() {
     let mut bench = Bench::new("repeatable");
     let mut effects = bench.submit(1, None);
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     for tenth in 1..=60 {
-        effects.extend(bench.at(100.0 + f64::from(tenth) / 10.0));
+        effects.extend(bench.tick_at(100.0 + f64::from(tenth) / 10.0));
     }
     assert_eq!(answers(&effects), 1);
     assert_eq!(bench.core.pending(), 0);
     let at = launched(&bench.submit(2, None)).expect("a launch");
-    let gone = bench.tell(Input::OwnerGone { link: 1 });
+    let gone = bench.apply_input(Input::OwnerGone { link: 1 });
     assert!(gone.contains(&Effect::GiveUp { machine: at, job: RequestId(2) }));
-    assert_eq!(answers(&gone) + answers(&bench.at(120.0)), 0);
+    assert_eq!(answers(&gone) + answers(&bench.tick_at(120.0)), 0);
 }
 
-/// Guards owners of what stood: its end is told once, also where machine and list tell of it both.
+/// Guards owners of running tasks: the end is reported once, also if both the machine and the list report it.
 #[test]
-fn what_stood_is_released_once() {
+fn the_end_of_a_running_task_is_reported_once() {
     let mut bench = Bench::new("repeatable");
     let at = launched(&bench.submit(1, None)).expect("a launch");
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     bench.bound(at, 1);
     let released = Effect::Released { owner: Owner::Link(1), job: RequestId(1), outcome: Outcome::Lost };
     assert!(bench.list(&[(at.0, Standing::Gone)]).contains(&released));
     assert!(!bench.end(at, 1, Outcome::Lost).contains(&released));
 }
 
-/// Guards keys: a retry stays in the window of its first try, and a task that was lost may be placed anew.
+/// Guards idempotency keys: a retry stays in the repeat window of its first try, and a task that was lost may
+/// be placed anew.
 #[test]
 fn a_key_keeps_its_window_over_retries() {
     let mut bench = Bench::new("by_key");
     let at = launched(&bench.submit(1, Some("k"))).expect("a launch");
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     bench.now = 104.0;
-    bench.tell(Input::Cancel { job: RequestId(1), cause: 16 });
+    bench.apply_input(Input::Cancel { job: RequestId(1), cause: 16 });
     bench.submit(2, Some("k"));
-    assert_eq!(bench.core.job(RequestId(2)).expect("a job").risky_since, Some(100.0));
-    bench.tell(Input::Cancel { job: RequestId(2), cause: 16 });
+    assert_eq!(bench.core.job(RequestId(2)).expect("a job").may_have_run_since, Some(100.0));
+    bench.apply_input(Input::Cancel { job: RequestId(2), cause: 16 });
     bench.now = 107.0;
-    let again = launched(&bench.submit(3, Some("k"))).expect("a placing of its own");
-    bench.tell(Input::Sent { job: RequestId(3), attempt: 0 });
+    let again = launched(&bench.submit(3, Some("k"))).expect("a placement of its own");
+    bench.apply_input(Input::Sent { job: RequestId(3), attempt: 0 });
     bench.bound(again, 3);
-    let lost = bench.tell(Input::MachineLost { machine: again, proved: true });
+    let lost = bench.apply_input(Input::MachineLost { machine: again, proved: true });
     assert!(
-        lost.contains(&Effect::Stop { machine: again, job: RequestId(3), cause: CUT }),
-        "no copy runs on"
+        lost.contains(&Effect::Stop { machine: again, job: RequestId(3), cause: CAUSE_CUT }),
+        "no copy keeps running"
     );
     bench.submit(4, Some("k"));
-    assert_eq!(bench.core.job(RequestId(4)).expect("a job").risky_since, None);
+    assert_eq!(bench.core.job(RequestId(4)).expect("a job").may_have_run_since, None);
     assert!(at.0 < 2);
 }
 
-/// Guards usual owners against one that uses an id twice: neither ask of it is served, and another's goes on.
+/// Guards clients against one that uses an id twice: neither of its two requests is served, and the job of
+/// another client with the same id continues.
 #[test]
 fn an_id_in_use_is_served_to_its_first_owner_alone() {
     for link in [1, 2] {
         let mut bench = Bench::new("repeatable");
         let at = launched(&bench.submit(1, None)).expect("a launch");
-        bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+        bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
         let spec = Arc::new(Spec { class: "c".into(), ..Spec::default() });
         let task = bench.core.job(RequestId(1)).expect("a job").task;
         let twice =
-            bench.tell(Input::Submit(Ask { job: RequestId(1), owner: Owner::Link(link), spec, task }));
+            bench.apply_input(Input::Submit(Ask { job: RequestId(1), owner: Owner::Link(link), spec, task }));
         assert!(twice.contains(&Effect::Expel { link }));
         let first_ended = link == 1;
         assert_eq!(twice.contains(&Effect::Failed { owner: Owner::Link(1), job: RequestId(1) }), first_ended);
@@ -216,9 +224,10 @@
     }
 }
 
-/// Guards memory against tasks said to stand where nobody can tell of their end, and against any number of them.
+/// Guards memory against reported running tasks: those at unlisted machines, whose end nobody reports, and
+/// any number of others.
 #[test]
-fn what_is_said_to_stand_is_bounded() {
+fn adopted_tasks_are_bounded() {
     let mut bench = Bench::new("repeatable");
     let adopt = |bench: &mut Bench, job: u64, machine: u32| {
         let task = Task {
@@ -232,39 +241,41 @@
         };
         let spec = Arc::new(Spec { class: "c".into(), ..Spec::default() });
         let ask = Ask { job: RequestId(job), owner: Owner::Link(1), spec, task };
-        bench.tell(Input::Adopt { ask, machine: MachineId(machine) })
+        bench.apply_input(Input::Adopt { ask, machine: MachineId(machine) })
     };
     let lost = |job| Effect::Released { owner: Owner::Link(1), job: RequestId(job), outcome: Outcome::Lost };
     adopt(&mut bench, 1, 0);
     adopt(&mut bench, 2, 99);
     adopt(&mut bench, 3, 1);
     assert_eq!(adopt(&mut bench, 4, 1), [lost(4)]);
-    assert_eq!(bench.at(103.0), [lost(2)]);
-    assert_eq!(bench.core.owed(1), Owed { open: 0, standing: 2 });
+    assert_eq!(bench.tick_at(103.0), [lost(2)]);
+    assert_eq!(bench.core.owed(1), LinkLoad { open: 0, standing: 2 });
 }
 
-/// Guards those who share the planner against one connection, and its memory against all of them.
+/// Guards clients against a single connection that submits too many jobs, and memory against all connections
+/// together.
 #[test]
-fn what_waits_is_bounded() {
+fn pending_jobs_are_bounded() {
     let mut bench = Bench::new("repeatable");
     bench.list(&[(0, Standing::Gone), (1, Standing::Gone)]);
     let busy =
         |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::Refused { why: Refusal::Busy, .. }));
-    let first = (1..).find(|&job| busy(&bench.submit(job, None))).expect("an end");
-    assert_eq!(first, MOST_ON_LINK as u64 + 1);
-    let more = (first..).find(|&job| busy(&bench.submit(job, Some("k")))).expect("an end");
+    let first = (1..).find(|&job| busy(&bench.submit(job, None))).expect("a refusal");
+    assert_eq!(first, MAX_PENDING_PER_LINK as u64 + 1);
+    let more = (first..).find(|&job| busy(&bench.submit(job, Some("k")))).expect("a refusal");
     assert_eq!(more, (1 << 20) / JOB_BYTES as u64 + 1);
-    bench.tell(Input::OwnerGone { link: 1 });
-    assert_eq!((bench.core.owed(1), bench.core.is_full()), (Owed::default(), false));
+    bench.apply_input(Input::OwnerGone { link: 1 });
+    assert_eq!((bench.core.owed(1), bench.core.is_full()), (LinkLoad::default(), false));
 }
 
-/// Guards a new machine at an old one's address: nothing more is sent to the old one, and what stood there is over.
+/// Guards a new machine at a former machine's address: nothing more is sent to the former one, and its
+/// running tasks are lost.
 #[test]
 fn an_address_has_one_machine() {
     let mut bench = Bench::new("repeatable");
     bench.list(&[(1, Standing::Gone)]);
     assert_eq!(launched(&bench.submit(1, None)), Some(MachineId(0)));
-    bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+    bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
     bench.bound(MachineId(0), 1);
     let replaced = bench.list(&[(10, Standing::Ready)]);
     let lost = Effect::Released { owner: Owner::Link(1), job: RequestId(1), outcome: Outcome::Lost };
@@ -272,82 +283,92 @@
     assert_eq!(launched(&bench.submit(2, None)), Some(MachineId(10)));
 }
 
-/// Guards a long day's memory: new names come for ever, and those of machines that are gone are let go.
+/// Guards memory over a long run: machine names keep changing, and the names of former machines are removed.
 #[test]
-fn names_of_gone_machines_are_let_go() {
+fn names_of_former_machines_are_removed() {
     let mut bench = Bench::new("repeatable");
     for n in 0..1000 {
-        let machine = bench.core.words().machine(&format!("box-{n}"));
+        let machine = bench.core.words().machine(&format!("machine-{n}"));
         bench.list(&[(machine.0, Standing::Ready)]);
         bench.list(&[(machine.0, Standing::Gone)]);
     }
     assert!(bench.core.words().machines() < 100);
-    assert_eq!(bench.core.words().machine("box-1000"), MachineId(1000));
+    assert_eq!(bench.core.words().machine("machine-1000"), MachineId(1000));
 }
 
-/// Guards what stands at a machine that drains: it takes no new connection, such as that of a planner that has just
-/// come up, and is there all the same. One that is in service and refuses is gone.
+/// Guards the running tasks of a draining machine: it refuses new connections, such as that of a planner that
+/// has just started, while its tasks continue. A machine in service that refuses connections is gone.
 #[test]
 fn a_drain_that_refuses_connections_keeps_its_tasks() {
     for standing in [Standing::Draining, Standing::Ready] {
         let mut bench = Bench::new("repeatable");
         let at = launched(&bench.submit(1, None)).expect("a launch");
-        bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+        bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
         bench.bound(at, 1);
         bench.list(&[(at.0, standing)]);
         let lost = Effect::Released { owner: Owner::Link(1), job: RequestId(1), outcome: Outcome::Lost };
         let kept = standing == Standing::Draining;
-        assert_eq!(bench.tell(Input::DialRefused { machine: at, quiet_s: 0.0 }).contains(&lost), !kept);
+        assert_eq!(
+            bench.apply_input(Input::DialRefused { machine: at, quiet_s: 0.0 }).contains(&lost),
+            !kept
+        );
         bench.now += 5.0;
-        assert_eq!(bench.tell(Input::DialRefused { machine: at, quiet_s: 0.0 }).contains(&lost), kept);
+        assert_eq!(bench.apply_input(Input::DialRefused { machine: at, quiet_s: 0.0 }).contains(&lost), kept);
     }
 }
 
-/// Guards the rule of one attempt out: a give-up that a machine cut off never hears leaves the attempt out there, so
-/// that no other may follow; the machine's word on the same connection proves it heard, and only then another goes.
+/// Guards the rule of one open attempt: a machine that is cut off does not receive the cancellation, so that
+/// the attempt stays open and no other may follow. Only the machine's answer to a connection check on the
+/// same connection confirms the cancellation and allows another attempt.
 #[test]
-fn what_is_given_up_is_out_until_its_machine_is_heard() {
+fn a_cancelled_attempt_is_open_until_its_machine_confirms() {
     for hears in [true, false] {
         let mut bench = Bench::new("repeatable");
         bench.core.settings.probes = true;
         let at = launched(&bench.submit(1, None)).expect("a launch");
-        bench.tell(Input::Sent { job: RequestId(1), attempt: 0 });
+        bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
         let timed_out = (1..50)
-            .map(|tenth| bench.at(100.0 + f64::from(tenth) / 10.0))
+            .map(|tenth| bench.tick_at(100.0 + f64::from(tenth) / 10.0))
             .find(|effects| !effects.is_empty())
             .expect("a time-out before the deadline");
         assert!(timed_out.contains(&Effect::GiveUp { machine: at, job: RequestId(1) }));
-        assert_eq!((launched(&timed_out), answers(&timed_out)), (None, 0), "the first may be out still");
+        assert_eq!(
+            (launched(&timed_out), answers(&timed_out)),
+            (None, 0),
+            "the first attempt may still be open"
+        );
         let ask = timed_out.iter().find_map(|e| match e {
             Effect::Ask { machine, ask } if *machine == at => Some(*ask),
             _ => None,
         });
-        let ask = ask.expect("the machine is asked whether it heard");
-        assert_eq!(launched(&bench.tell(Input::Heard { machine: MachineId(1 - at.0), ask })), None);
-        assert!(bench.bound(at, 1).is_empty(), "an answer that crossed the give-up places nothing");
+        let ask = ask.expect("a connection check is sent to the machine");
+        assert_eq!(launched(&bench.apply_input(Input::Heard { machine: MachineId(1 - at.0), ask })), None);
+        assert!(bench.bound(at, 1).is_empty(), "an answer that crossed the cancellation is dropped");
         if hears {
-            assert!(launched(&bench.tell(Input::Heard { machine: at, ask })).is_some());
+            assert!(launched(&bench.apply_input(Input::Heard { machine: at, ask })).is_some());
             continue;
         }
         let effects: Vec<Effect> =
-            (1..=12).flat_map(|tenth| bench.at(103.0 + f64::from(tenth) / 10.0)).collect();
+            (1..=12).flat_map(|tenth| bench.tick_at(103.0 + f64::from(tenth) / 10.0)).collect();
         assert_eq!((launched(&effects), answers(&effects)), (None, 1), "answered at once, not sent again");
     }
 }
 
-/// Runs a bench on until something is sent, and tells where to, and behind which test.
-fn offered(bench: &mut Bench) -> Option<(MachineId, Option<u64>)> {
+/// Advances the clock until an attempt starts; returns its machine and the number of the connection check
+/// before it.
+fn run_until_launch(bench: &mut Bench) -> Option<(MachineId, Option<u64>)> {
     (0..500).find_map(|_| {
         bench.now += 0.01;
-        bench.tell(Input::Tick).into_iter().find_map(|effect| match effect {
+        bench.apply_input(Input::Tick).into_iter().find_map(|effect| match effect {
             Effect::Launch { machine, fence, .. } => Some((machine, fence)),
             _ => None,
         })
     })
 }
 
-/// Guards the rule of one attempt out against answers that come late or twice: no answer tells an attempt's number, so
-/// that a second attempt at a machine stands behind a test, and what comes before its answer belongs to the first.
+/// Guards the rule of one open attempt against late or repeated answers: answers carry no attempt number, so
+/// that a connection check precedes a second attempt at a machine, and messages before the check's answer
+/// belong to the first.
 #[test]
 fn an_answer_to_an_earlier_attempt_is_not_taken_for_a_later_one() {
     let mut bench = Bench::new("repeatable");
@@ -356,23 +377,24 @@
     let at = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
     bench.end(at, 1, Outcome::Full);
-    let (again, fence) = offered(&mut bench).expect("another attempt");
+    let (again, fence) = run_until_launch(&mut bench).expect("another attempt");
     assert_eq!(again, at);
-    let fence = fence.expect("a test before the second attempt there");
+    let fence = fence.expect("a connection check before the second attempt there");
     bench.sent(1, 1);
     let early =
         [bench.end(at, 1, Outcome::Full), bench.bound(at, 1), bench.end(at, 1, Outcome::Error)].concat();
-    assert!(early.is_empty(), "what comes before the test's answer is of the first: {early:?}");
-    bench.tell(Input::Heard { machine: MachineId(1 - at.0), ask: fence });
+    assert!(early.is_empty(), "messages before the check's answer belong to the first attempt: {early:?}");
+    bench.apply_input(Input::Heard { machine: MachineId(1 - at.0), ask: fence });
     assert!(bench.bound(at, 1).is_empty(), "another machine's answer proves nothing");
-    bench.tell(Input::Heard { machine: at, ask: fence });
+    bench.apply_input(Input::Heard { machine: at, ask: fence });
     assert_eq!(answers(&bench.bound(at, 1)), 1);
 }
 
-/// Guards the same where the connection broke: what the attempt left may be told on any later connection, so that its
-/// machine gets no other of this job; nor does one that cannot be tested get a second.
+/// Guards the same if the connection broke: a message about the first attempt may arrive on any later
+/// connection, so that its machine gets no second attempt of this job. Neither does a machine that cannot be
+/// checked.
 #[test]
-fn a_machine_out_of_sight_gets_no_second_attempt() {
+fn a_machine_without_confirmed_end_gets_no_second_attempt() {
     for broke in [true, false] {
         let mut bench = Bench::new("repeatable");
         bench.core.settings.probes = broke;
@@ -380,11 +402,11 @@
         let at = launched(&bench.submit(1, None)).expect("a launch");
         bench.sent(1, 0);
         let mut effects = match broke {
-            true => bench.tell(Input::LinkBroken { machine: at, proved: true }),
+            true => bench.apply_input(Input::LinkBroken { machine: at, proved: true }),
             false => bench.end(at, 1, Outcome::Full),
         };
         for tenth in 1..=60 {
-            effects.extend(bench.at(100.0 + f64::from(tenth) / 10.0));
+            effects.extend(bench.tick_at(100.0 + f64::from(tenth) / 10.0));
         }
         assert_eq!((launched(&effects), answers(&effects)), (None, 1));
     }
@@ -392,40 +414,40 @@
     let at = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
     assert_eq!(
-        launched(&bench.tell(Input::LinkBroken { machine: at, proved: true })),
+        launched(&bench.apply_input(Input::LinkBroken { machine: at, proved: true })),
         Some(MachineId(1 - at.0))
     );
 }
 
-/// Guards the same against an id that comes again after its job is over: while a copy of the first may run, the second is
-/// answered and not sent.
+/// Guards the same against an id that is submitted again after its job is over: while a copy of the first may
+/// run, the second is answered without being sent.
 #[test]
-fn an_id_of_which_a_copy_may_run_is_not_sent_anew() {
+fn an_id_whose_copy_may_run_is_not_sent_again() {
     let failed = Effect::Failed { owner: Owner::Link(1), job: RequestId(1) };
     for proof in 0..3 {
         let mut bench = Bench::new("repeatable");
         let at = launched(&bench.submit(1, None)).expect("a launch");
         bench.sent(1, 0);
-        bench.tell(Input::Cancel { job: RequestId(1), cause: 16 });
+        bench.apply_input(Input::Cancel { job: RequestId(1), cause: 16 });
         bench.core.forget(RequestId(1), &mut vec![]);
         assert!(bench.submit(1, None).contains(&failed));
         match proof {
             0 => _ = bench.end(MachineId(1 - at.0), 1, Outcome::Lost),
             1 => _ = bench.end(at, 1, Outcome::Lost),
-            _ => _ = bench.tell(Input::MachineLost { machine: at, proved: true }),
+            _ => _ = bench.apply_input(Input::MachineLost { machine: at, proved: true }),
         }
         assert_eq!(launched(&bench.submit(1, None)).is_some(), proof > 0, "only its machine can prove it");
     }
 }
 
-/// Guards keyed work: whatever the module says, it is tried again only in the group of its first attempt that may have
-/// run, also where that one's machine has left the list.
+/// Guards keyed jobs: whatever the placer decides, a job is retried only in the place (zone or cell) of its
+/// first attempt that may have run, also if that attempt's machine has left the list.
 #[test]
-fn keyed_work_stays_in_its_group() {
+fn a_keyed_job_stays_in_its_place() {
     for (group, allowed) in
         [("all", [true; 3]), ("zone", [true, true, false]), ("cell", [true, false, false])]
     {
-        let mut bench = Bench { core: core_of("by_key", group), now: 100.0 };
+        let mut bench = Bench { core: core_in_place("by_key", group), now: 100.0 };
         let spots = [(0, 0, 0), (1, 0, 0), (2, 0, 1), (3, 1, 2)];
         let notice = |&(n, zone, cell): &(u32, u32, u64)| {
             let (machine, key, free) =
@@ -436,27 +458,27 @@
         };
         let add = |bench: &mut Bench, of: &[(u32, u32, u64)]| {
             let notices = of.iter().map(notice).collect();
-            bench.tell(Input::List { kind: ListKind::Changes, notices })
+            bench.apply_input(Input::List { kind: ListKind::Changes, notices })
         };
         add(&mut bench, &spots[..1]);
         assert_eq!(launched(&bench.submit(1, Some("k"))), Some(MachineId(0)));
         bench.sent(1, 0);
-        // Its end is kept from the module, which would go on by itself.
+        // The placer is not informed of the end, as it would start another attempt itself.
         let job = bench.core.jobs.get_mut(&RequestId(1)).expect("a job");
-        let trial = job.trial.take().expect("an attempt");
-        job.may_have_run(&trial);
-        bench.core.nodes.get_mut(MachineId(0)).expect("a machine").trying.clear();
+        let open_attempt = job.open_attempt.take().expect("an attempt");
+        job.may_have_run(&open_attempt);
+        bench.core.nodes.get_mut(MachineId(0)).expect("a machine").open_attempts.clear();
         bench.list(&[(0, Standing::Gone)]);
-        // The module hears nothing of these: what is asked is what the guard says by itself.
+        // The placer is not informed of these machines: only the guard's own decision is tested.
         for (n, allowed) in (1..).zip(allowed) {
             let mut effects = Vec::new();
             let entry = notice(&spots[n as usize]);
-            bench.core.notice(&entry, &mut effects);
-            bench.core.bind(bench.now, RequestId(1), MachineId(n), bench.now + 1.0, &mut effects);
+            bench.core.update_machine(&entry, &mut effects);
+            bench.core.start_attempt(bench.now, RequestId(1), MachineId(n), bench.now + 1.0, &mut effects);
             let out = launched(&effects).is_some();
             assert_eq!(out, allowed, "group {group}, machine {n}");
             if out {
-                bench.core.trial_over(
+                bench.core.end_attempt(
                     bench.now,
                     RequestId(1),
                     Outcome::Moot,
@@ -470,40 +492,43 @@
     }
 }
 
-/// Guards jobs against a machine that goes and comes back under its name: an answer to what it got before is not taken for
-/// one to a later attempt, elsewhere or there.
+/// Guards jobs against a machine that leaves and returns under its name: an answer to an attempt it got
+/// before is not taken for an answer to a later attempt, there or elsewhere.
 #[test]
-fn an_answer_of_a_machine_gone_and_back_is_of_its_earlier_attempt() {
+fn an_answer_of_a_returning_machine_belongs_to_its_earlier_attempt() {
     let mut bench = Bench::new("repeatable");
     let first = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
     let gone = bench.list(&[(first.0, Standing::Gone)]);
-    assert_eq!(launched(&gone), None, "it is out there still");
-    let departure = departure(&gone).expect("its connection is to end");
-    let ended = bench.tell(Input::Departed { departure, proved: true });
-    let second = launched(&ended).expect("it goes elsewhere");
+    assert_eq!(launched(&gone), None, "the attempt is still open there");
+    let departure = departure(&gone).expect("its connection is closed");
+    let ended = bench.apply_input(Input::Departed { departure, proved: true });
+    let second = launched(&ended).expect("the job goes to another machine");
     assert_ne!(second, first);
     bench.sent(1, 1);
     bench.list(&[(first.0, Standing::Ready)]);
     assert_eq!(answers(&bench.bound(first, 1)), 0);
     assert_eq!(answers(&bench.end(first, 1, Outcome::Full)), 0);
     assert_eq!(answers(&bench.bound(second, 1)), 1);
-    assert!(bench.end(first, 1, Outcome::Lost).is_empty(), "nor does it end what stands elsewhere");
+    assert!(
+        bench.end(first, 1, Outcome::Lost).is_empty(),
+        "a report of the first machine does not end the task on the second"
+    );
 }
 
 impl Bench {
-    /// A machine of that name comes up, or comes up anew, at that time.
+    /// Lists a machine that started, or restarted, at the given time.
     fn started(&mut self, n: u32, started: Seconds) -> Vec<Effect> {
         let (machine, key) = (MachineId(n), MachineKey(u64::from(n)));
         let (zone, cell, free) = (ZoneId(0), CellId(0), Room { cores: 9.0, memory: 18.0 });
         let standing = Standing::Ready;
         let entry = Entry { machine, key, zone, cell, kind: Some(0), standing, free, started };
         let notices = vec![Notice { entry, address: format!("a:{n}") }];
-        self.tell(Input::List { kind: ListKind::Changes, notices })
+        self.apply_input(Input::List { kind: ListKind::Changes, notices })
     }
 }
 
-fn taken_back(effects: &[Effect], job: u64) -> Option<MachineId> {
+fn cancelled_at(effects: &[Effect], job: u64) -> Option<MachineId> {
     let of = |e: &Effect| match e {
         Effect::GiveUp { machine, job: id } if id.0 == job => Some(*machine),
         _ => None,
@@ -511,10 +536,10 @@
     effects.iter().find_map(of)
 }
 
-/// Guards clients of a connection of which nothing more can be heard: what they asked before has its one answer, and what
-/// stands stays.
+/// Guards clients of a connection that can no longer be read: their pending jobs get one answer each, and
+/// their running tasks continue.
 #[test]
-fn what_is_open_on_a_faulty_connection_is_answered() {
+fn pending_jobs_of_a_faulty_connection_are_answered() {
     let mut bench = Bench::new("repeatable");
     let stands = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
@@ -522,75 +547,76 @@
     bench.submit(2, None);
     bench.submit(3, None);
     bench.sent(3, 0);
-    let ended = bench.tell(Input::OwnerFaulty { link: 1 });
+    let ended = bench.apply_input(Input::OwnerFaulty { link: 1 });
     assert_eq!(answers(&ended), 2);
-    assert!(taken_back(&ended, 2).is_some() && taken_back(&ended, 3).is_some());
+    assert!(cancelled_at(&ended, 2).is_some() && cancelled_at(&ended, 3).is_some());
     assert_eq!((bench.core.pending(), bench.core.standing_at(stands)), (0, 1));
 }
 
-/// Guards rule 2: a further attempt that still waits in a queue when the window for repeats ends is taken back at that
-/// time, and not sent after it.
+/// Guards rule 2: a further attempt that is still queued when the repeat window ends is cancelled at that
+/// time, and not sent afterwards.
 #[test]
-fn a_further_attempt_does_not_leave_after_its_window() {
-    let mut bench = Bench { core: core_within("by_key", 2.0), now: 100.0 };
+fn a_further_attempt_is_not_sent_after_its_window() {
+    let mut bench = Bench { core: core_with_window("by_key", 2.0), now: 100.0 };
     bench.list(&[(0, Standing::Ready), (1, Standing::Ready)]);
     let first = launched(&bench.submit(1, Some("k"))).expect("a launch");
     bench.sent(1, 0);
     bench.now = 101.0;
-    let again =
-        launched(&bench.tell(Input::LinkBroken { machine: first, proved: true })).expect("a further attempt");
-    assert_eq!(bench.core.next_alarm(), Some(102.0), "whoever writes looks at the time, and finds this due");
-    assert_eq!(taken_back(&bench.at(101.99), 1), None);
-    let ended = bench.at(102.0);
-    assert_eq!(taken_back(&ended, 1), Some(again));
-    assert_eq!((answers(&ended), launched(&ended)), (1, None), "it has its answer at once");
-    // What has left by then may be answered as long as its owner waits.
-    let mut bench = Bench { core: core_within("by_key", 2.0), now: 100.0 };
+    let again = launched(&bench.apply_input(Input::LinkBroken { machine: first, proved: true }))
+        .expect("a further attempt");
+    assert_eq!(bench.core.next_alarm(), Some(102.0), "the next alarm is the end of the repeat window");
+    assert_eq!(cancelled_at(&bench.tick_at(101.99), 1), None);
+    let ended = bench.tick_at(102.0);
+    assert_eq!(cancelled_at(&ended, 1), Some(again));
+    assert_eq!((answers(&ended), launched(&ended)), (1, None), "the job is answered at once");
+    // An attempt that was sent by then may be answered as long as its owner waits.
+    let mut bench = Bench { core: core_with_window("by_key", 2.0), now: 100.0 };
     bench.list(&[(0, Standing::Ready), (1, Standing::Ready)]);
     let first = launched(&bench.submit(1, Some("k"))).expect("a launch");
     bench.sent(1, 0);
     bench.now = 101.0;
-    let again =
-        launched(&bench.tell(Input::LinkBroken { machine: first, proved: true })).expect("a further attempt");
+    let again = launched(&bench.apply_input(Input::LinkBroken { machine: first, proved: true }))
+        .expect("a further attempt");
     bench.sent(1, 1);
-    assert_eq!(taken_back(&bench.at(102.0), 1), None);
+    assert_eq!(cancelled_at(&bench.tick_at(102.0), 1), None);
     assert_eq!(answers(&bench.bound(again, 1)), 1);
 }
 
-/// Guards cold machines against planners' queues: what was decided for a warm machine and has not left is decided anew
-/// once it is known to have come up again.
+/// Guards cold machines against the planners' send queues: attempts that were decided for a warm machine and
+/// not sent yet are decided again once the machine is known to have restarted.
 #[test]
-fn what_waits_for_a_machine_that_restarts_is_decided_anew() {
+fn queued_attempts_are_decided_again_after_a_restart() {
     let mut bench = Bench { core: core("repeatable"), now: 100.0 };
     bench.started(0, 10.0);
     assert_eq!(launched(&bench.submit(1, None)), Some(MachineId(0)));
-    assert_eq!(taken_back(&bench.started(0, 99.5), 1), Some(MachineId(0)));
+    assert_eq!(cancelled_at(&bench.started(0, 99.5), 1), Some(MachineId(0)));
 }
 
-/// Guards cold machines against parts of two windows that leave at once: an attempt for a cold machine that cannot leave
-/// within the quarter of a window by which the module's are longer is taken back; one for a warm machine waits on.
+/// Guards cold machines against the shares of two windows that are sent at once: the placer's windows are
+/// longer by a quarter, and an attempt for a cold machine that cannot be sent within that quarter is
+/// cancelled. One for a warm machine stays queued.
 #[test]
-fn an_attempt_for_a_cold_machine_does_not_wait_past_its_part() {
+fn an_attempt_for_a_cold_machine_does_not_wait_past_its_share() {
     for (started, waits) in [(10.0, true), (99.0, false)] {
         let mut bench = Bench { core: core("repeatable"), now: 100.0 };
         bench.started(0, started);
-        // The module sends a cold machine nothing in its own first window.
+        // The placer sends a cold machine nothing in its first window.
         bench.now = 104.0;
         assert_eq!(launched(&bench.submit(1, None)), Some(MachineId(0)));
-        assert_eq!(taken_back(&bench.at(104.49), 1), None);
-        assert_eq!(taken_back(&bench.at(104.5), 1).is_none(), waits, "up since {started}");
+        assert_eq!(cancelled_at(&bench.tick_at(104.49), 1), None);
+        assert_eq!(cancelled_at(&bench.tick_at(104.5), 1).is_none(), waits, "up since {started}");
     }
 }
 
-/// Guards what must not be repeated: a machine that only counts as lost may still hold what left for it, whose connection is
-/// up; its time-out ends it, or its connection.
+/// Guards tasks that must not be repeated: a machine that only counts as lost may still hold attempts, whose
+/// connection is working. Such an attempt ends by its time-out or with its connection.
 #[test]
-fn a_machine_that_counts_as_lost_ends_no_attempt_that_is_out_there() {
+fn an_unproved_loss_ends_no_sent_attempt() {
     let mut bench = Bench::new("repeatable");
     let at = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
-    assert_eq!(launched(&bench.tell(Input::MachineLost { machine: at, proved: false })), None);
-    assert!(launched(&bench.tell(Input::MachineLost { machine: at, proved: true })).is_some());
+    assert_eq!(launched(&bench.apply_input(Input::MachineLost { machine: at, proved: false })), None);
+    assert!(launched(&bench.apply_input(Input::MachineLost { machine: at, proved: true })).is_some());
 }
 
 fn departure(effects: &[Effect]) -> Option<DepartureId> {
@@ -601,10 +627,11 @@
     effects.iter().find_map(of)
 }
 
-/// Guards what must not be repeated: an attempt at a machine that left the list, or on a connection that ended, goes elsewhere
-/// once its machine is known to have given it up, and is answered without another attempt where that is never known.
+/// Guards tasks that must not be repeated: an attempt at a machine that left the list, or on a connection
+/// that ended, goes elsewhere once its machine is known to have abandoned it. If that is never known, the job
+/// is answered without another attempt.
 #[test]
-fn what_nobody_proved_given_up_is_answered_and_not_sent_again() {
+fn an_unconfirmed_attempt_is_answered_and_not_repeated() {
     for leaves in [true, false] {
         for proved in [true, false] {
             let mut bench = Bench::new("repeatable");
@@ -612,29 +639,29 @@
             bench.sent(1, 0);
             let ended = if leaves {
                 let gone = bench.list(&[(at.0, Standing::Gone)]);
-                assert_eq!((launched(&gone), taken_back(&gone, 1)), (None, Some(at)));
-                assert_eq!(answers(&bench.bound(at, 1)), 0, "it is given up");
-                bench.tell(Input::Departed { departure: departure(&gone).expect("one"), proved })
+                assert_eq!((launched(&gone), cancelled_at(&gone, 1)), (None, Some(at)));
+                assert_eq!(answers(&bench.bound(at, 1)), 0, "the attempt is cancelled");
+                bench.apply_input(Input::Departed { departure: departure(&gone).expect("one"), proved })
             } else {
-                bench.tell(Input::LinkBroken { machine: at, proved })
+                bench.apply_input(Input::LinkBroken { machine: at, proved })
             };
             assert_eq!((launched(&ended).is_some(), answers(&ended)), (proved, usize::from(!proved)));
         }
     }
 }
 
-/// Guards clients whose request is out at a machine that left and never ends its connection: they have their answer within
-/// the time for a proof, and before their deadline.
+/// Guards clients with an attempt open at a machine that left the list and never closes its connection: they
+/// are answered within the confirmation time-out, and before their deadline.
 #[test]
-fn what_is_out_at_a_machine_that_left_is_answered_in_time() {
+fn an_attempt_at_a_departed_machine_is_answered_in_time() {
     for (left_at, answered_by) in [(100.0, 101.0), (104.5, 105.0)] {
         let mut bench = Bench::new("repeatable");
         let at = launched(&bench.submit(1, None)).expect("a launch");
         bench.sent(1, 0);
         bench.now = left_at;
-        // Its own time-out may have come before.
+        // The attempt's own time-out may have passed before.
         let gone = bench.list(&[(at.0, Standing::Gone)]);
-        let ended = bench.at(answered_by);
+        let ended = bench.tick_at(answered_by);
         assert_eq!((answers(&gone) + answers(&ended), launched(&ended)), (1, None), "left at {left_at}");
     }
 }
