--- a/src/placer/interface.rs
+++ b/src/placer/interface.rs
@@ -1,22 +1,21 @@
-//! Types at the edge of the decision module: settings, events, actions, ids and errors.
-//! Nothing here decides anything.
+//! Public types of the decision module: settings, events, actions, ids and errors. No decision is taken here.
 
 use std::fmt;
 use std::ops::{Add, Mul, Sub};
 
-/// Seconds on the clock that the caller supplies; it only moves forward.
+/// A time or time span in seconds, on the caller's clock, which never goes back.
 pub type Seconds = f64;
 
-/// A machine, numbered by the caller; the same number always means the same machine.
+/// A machine, numbered by the caller. A number is never used for another machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineId(pub u32);
-/// What identifies a machine to every placer alike, such as a hash of its name.
+/// An id of a machine that is the same at every placer, such as a hash of its name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineKey(pub u64);
-/// One ask to place a task; never used twice.
+/// A request to place a task. An id is never used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
-/// A service, that is, a program of which many tasks may run.
+/// A service: a program that many tasks may run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceId(pub u64);
 /// A zone, numbered by the caller.
@@ -38,7 +37,7 @@
 }
 
 impl Room {
-    /// The larger of its shares of so much room.
+    /// The share of `whole` that it takes, in cores or in memory, whichever is larger in magnitude.
     pub fn share_of(self, whole: Room) -> f64 {
         let (cores, memory) = (self.cores / whole.cores, self.memory / whole.memory);
         if cores.abs() > memory.abs() {
@@ -48,12 +47,12 @@
         }
     }
 
-    /// In each part the larger of the two.
+    /// The maximum of the two, separately for cores and memory.
     pub fn at_least(self, other: Room) -> Room {
         Room { cores: self.cores.max(other.cores), memory: self.memory.max(other.memory) }
     }
 
-    /// Whether neither part exceeds the other's.
+    /// Whether it fits into `other`, in cores and in memory.
     pub fn within(self, other: Room) -> bool {
         self.cores <= other.cores && self.memory <= other.memory
     }
@@ -80,7 +79,7 @@
     }
 }
 
-/// A span of the fleet: one machine, one cell, one zone, or everything.
+/// A part of the fleet: a machine, a cell, a zone, or all machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
     /// One machine.
@@ -93,14 +92,14 @@
     All,
 }
 
-/// What a second attempt at a task of a class may do.
+/// Whether tasks of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     /// A second copy does no harm.
     Repeatable,
-    /// Machines of one group discard repeats for a while after the first send.
+    /// Machines of one group discard repeats with the same key for some time after the first send.
     Keyed {
-        /// The span of machines that discards repeats.
+        /// The part of the fleet within which repeats are discarded.
         group: Place,
         /// How long they do so, from the send of the first attempt that may have run.
         window_s: Seconds,
@@ -112,11 +111,11 @@
 /// A class of tasks.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// What repeats may do.
+    /// Whether its tasks may be repeated.
     pub effect: Effect,
-    /// How long an owner usually waits for a placing.
+    /// Usual time that an owner waits for a task to be placed.
     pub deadline_s: Seconds,
-    /// A first start within this time earns its full worth.
+    /// Time within which a first start has its full worth.
     pub on_time_s: Seconds,
     /// Share of a start's worth after that time.
     pub late_share: f64,
@@ -124,9 +123,9 @@
     pub importance: f64,
     /// Seconds of service that a first start in time is worth.
     pub prompt_start_s: Seconds,
-    /// Where the class must stay spread, and the most tasks of a service in one such place.
+    /// Where tasks must be spread: the kind of place, and the most tasks of a service in one such place.
     pub spread: Option<(Place, u32)>,
-    /// Index of the only kind of machine that may hold it.
+    /// Index of the only kind of machine that may run it; any if absent.
     pub kind: Option<usize>,
 }
 
@@ -140,7 +139,7 @@
 /// A tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Cores asked for, over all placers, within its share.
+    /// Cores that it may request in total, over all placers, at full worth.
     pub quota_cores: f64,
 }
 
@@ -155,7 +154,7 @@
     Silent,
 }
 
-/// Everything a placer is told when it starts.
+/// The settings with which a placer starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The classes, in the order in which tasks name them.
@@ -164,15 +163,15 @@
     pub kinds: Vec<Kind>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The zone of this placer, where known.
+    /// The zone of this placer, if known.
     pub zone: Option<ZoneId>,
     /// How many placers there are.
     pub placers: u32,
-    /// The list of machines must be asked for.
+    /// The machine list is sent only on request.
     pub ask_for_list: bool,
-    /// A placer without a subscription must ask at least this often.
+    /// A placer without a subscription must request the list at least this often.
     pub ask_every_s: Seconds,
-    /// List entries carry the room that nobody asked for.
+    /// List entries carry the room that no accepted task asked for.
     pub list_shows_room: bool,
     /// A machine accepts tasks up to this multiple of its cores.
     pub cores_multiple: f64,
@@ -180,52 +179,58 @@
     pub memory_multiple: f64,
     /// A bind is confirmed only when the task runs, not when it is accepted.
     pub confirms_running: bool,
-    /// Where reports come from.
+    /// Where load reports come from.
     pub reports: ReportSource,
-    /// Free room in reports is room not in use, rather than not asked for.
+    /// Free room in load reports means room not in use, rather than room that no task asked for.
     pub reports_used: bool,
     /// Probes are allowed.
     pub probes: bool,
     /// Most attempts for one request.
     pub max_attempts: usize,
-    /// Offers within `fall_s`, from all placers, that a cold machine always bears.
+    /// Number of offers within `fall_s`, from all placers, that a cold machine can always handle.
     pub cold_bears: f64,
     /// Window over which a cold machine's offers are counted.
     pub fall_s: Seconds,
-    /// A machine is warm no later than this after its start.
+    /// Time after its start during which a machine counts as cold.
     pub warm_within_s: Seconds,
-    /// Batches come at most this often.
+    /// Shortest interval between batches of events.
     pub tick_s: Seconds,
-    /// Worth of a task beyond its tenant's share, as a share of the usual.
+    /// Worth of a task beyond its tenant's quota, as a share of its usual worth.
     pub over_share_worth: f64,
     /// Price of running outside the placer's zone.
     pub cross_zone_price: f64,
 }
 
 impl Settings {
-    /// Tells whether any placer could serve these settings.
+    /// Checks whether a placer can work with these settings.
     ///
     /// # Errors
-    /// What is wrong with them.
+    /// The first fault found.
     pub fn check(&self) -> Result<(), SettingsError> {
         let positive = |x: f64| x.is_finite() && x > 0.0;
         let faults = [
-            (self.classes.is_empty(), "there are no classes"),
+            (self.classes.is_empty(), "no class is listed"),
             (
                 self.kinds.iter().any(|k| !(positive(k.size.cores) && positive(k.size.memory))),
                 "a kind of machine has no cores or no memory",
             ),
-            (!(positive(self.cores_multiple) && positive(self.memory_multiple)), "machines accept nothing"),
-            (self.placers == 0 || self.max_attempts == 0, "there are no placers or no attempts"),
+            (
+                !(positive(self.cores_multiple) && positive(self.memory_multiple)),
+                "a multiple of cores or memory is not above zero",
+            ),
+            (self.placers == 0 || self.max_attempts == 0, "the number of placers or of attempts is zero"),
             (
                 self.classes.iter().any(|c| c.kind.is_some_and(|k| k >= self.kinds.len())),
-                "a class requires a kind that is not listed",
+                "a class requires a kind of machine that is not listed",
             ),
             (
                 self.classes.iter().any(|c| c.spread.is_some_and(|(_, most)| most == 0)),
-                "a class may have no task in a place",
+                "a class that must be spread allows zero tasks in a place",
+            ),
+            (
+                !(self.tick_s >= 0.0 && positive(self.fall_s)),
+                "the tick is negative or the cold window is not above zero",
             ),
-            (!(self.tick_s >= 0.0 && positive(self.fall_s)), "a time is negative or missing"),
         ];
         match faults.iter().find(|(wrong, _)| *wrong) {
             Some((_, what)) => Err(SettingsError((*what).into())),
@@ -234,19 +239,19 @@
     }
 }
 
-/// What the operators allow a task. Each figure only narrows what the settings allow.
+/// Limits that the operators set for a task. They only narrow what the settings allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskLimits {
-    /// Attempts.
+    /// Number of attempts.
     pub attempts: usize,
     /// Seconds that one attempt may take.
     pub attempt_s: Seconds,
-    /// Seconds from the first send that may have run within which a keyed task may be sent again.
+    /// Time after the first attempt that may have run, within which a keyed task may be sent again.
     pub window_s: Seconds,
-    /// Seconds of pause after a refusal in the mean, and the share of it by which it is drawn higher or
-    /// lower; the module's own where absent.
+    /// Mean pause after a refusal in seconds, and the share of it by which a pause is randomly longer or
+    /// shorter; the module's default if absent.
     pub pause_s: Option<(Seconds, Seconds)>,
-    /// Whether it may be sent again once an attempt of it may have run.
+    /// Whether it may be sent again after an attempt that may have run.
     pub copies: bool,
 }
 
@@ -262,17 +267,17 @@
 pub struct Task {
     /// Index of its class.
     pub class: usize,
-    /// Index of its tenant, where it has one.
+    /// Index of its tenant, if it has one.
     pub tenant: Option<usize>,
     /// The service it belongs to.
     pub service: ServiceId,
-    /// What it asks for.
+    /// Cores and memory that it requests.
     pub room: Room,
-    /// When the owner gives up on this ask.
+    /// When the owner gives up on this request.
     pub deadline: Seconds,
-    /// How long it is expected to run, where told.
+    /// Expected run time, if the owner gave one.
     pub life_s: Option<Seconds>,
-    /// What the operators allow it.
+    /// The operators' limits for it.
     pub limits: TaskLimits,
 }
 
@@ -290,43 +295,43 @@
 /// One machine in the list.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    /// Which machine.
+    /// The machine.
     pub machine: MachineId,
-    /// The same figure for this machine at every placer.
+    /// Its id that is the same at every placer.
     pub key: MachineKey,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// Index of its kind, where the settings know it.
+    /// Index of its kind, if the settings list it.
     pub kind: Option<usize>,
     /// Its standing.
     pub standing: Standing,
-    /// Room that no accepted task asked for, some time ago.
+    /// Room that no accepted task asked for, as of some time ago.
     pub free: Room,
     /// When it last started; 0 means long ago.
     pub started: Seconds,
 }
 
-/// What a list event brings.
+/// The kind of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only changed entries.
     Changes,
-    /// Every machine there is.
+    /// All machines.
     Whole,
-    /// The list as this placer last had it, maybe old.
+    /// The list that this placer last saved, which may be outdated.
     Persisted,
-    /// A call failed or the subscription broke; no entries.
+    /// A list call failed or the subscription broke; there are no entries.
     Failed,
 }
 
 /// A machine's load report; values that were not sent are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Room not asked for, or not in use.
+    /// Free room: not requested, or not in use ([`Settings::reports_used`]).
     pub free: Option<Room>,
-    /// Share of the cores that is busy.
+    /// Share of the cores in use.
     pub busy: Option<f64>,
 }
 
@@ -335,24 +340,24 @@
 pub enum Outcome {
     /// The task has ended, or the probe was answered.
     Ok,
-    /// An error; it may have started anyway.
+    /// An error; the task may have started.
     Error,
     /// Refused; it never ran.
     Full,
-    /// No answer in time.
+    /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it never ran.
     ConnectFailed,
-    /// Lost, evicted or sent away after its bind; before it, the answer broke off.
+    /// After the bind: lost, evicted or sent away. Before it: the connection or the answer broke off.
     Lost,
-    /// Called off or stopped.
+    /// Withdrawn or stopped on request.
     Cancelled,
     /// Never sent.
     Moot,
 }
 
 impl Outcome {
-    /// Whether nothing, or nothing of use, came back.
+    /// Whether no usable answer came back.
     pub fn unanswered(self) -> bool {
         matches!(self, Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Lost)
     }
@@ -363,30 +368,30 @@
     }
 }
 
-/// Why an attempt ended so.
+/// Why an attempt ended with its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Not told.
+    /// Not reported.
     Unknown,
     /// No cores left.
     NoCores,
     /// No memory left.
     NoMemory,
-    /// Too many offers wait.
+    /// The machine's queue of offers is full.
     LineFull,
-    /// Wrong kind, draining, too late, or a copy stands.
+    /// The machine has the wrong kind or drains, the offer came too late, or a copy of the task runs.
     NotHere,
-    /// Evicted for memory.
+    /// Evicted for lack of memory.
     Evicted,
-    /// Pushed out by another task.
+    /// Preempted by another task.
     PushedOut,
     /// Sent away by a draining machine.
     SentAway,
-    /// The way to the machine broke or spoilt its answer, which may befall any machine alike.
+    /// The connection broke or corrupted the answer, which may happen with any machine.
     Broken,
 }
 
-/// Word on a running attempt.
+/// A progress message about an open attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Note {
     /// The task runs.
@@ -395,7 +400,7 @@
     CoresUsed(f64),
     /// Memory in use.
     MemoryUsed(f64),
-    /// Share of full service it gets.
+    /// Share of full service that the task gets.
     Served(f64),
     /// Share of the machine's memory in use.
     MachineMemory(f64),
@@ -412,37 +417,37 @@
     pub outcome: Outcome,
     /// Why.
     pub reason: Reason,
-    /// The request is over.
+    /// The request is finished: no further attempt is wanted.
     pub finished: bool,
-    /// No further attempt would be let out, whatever the module asks for.
+    /// The caller would send no further attempt of this request.
     pub last: bool,
     /// The machine's report, if one came.
     pub report: Option<Report>,
 }
 
-/// What is left at a machine that takes work, as far as the placer knows.
+/// Free capacity of a machine that takes work, as far as the placer knows.
 #[derive(Clone, Copy, Debug)]
 pub struct Space {
     /// The machine.
     pub machine: MachineId,
-    /// Room that is left of its limit.
+    /// Free part of `limit`.
     pub left: Room,
-    /// Its size.
+    /// Its cores and memory.
     pub size: Room,
-    /// What it accepts in all.
+    /// Room for all tasks that it accepts.
     pub limit: Room,
     /// Its kind.
     pub kind: Option<usize>,
-    /// Offers that it still bears.
+    /// Number of offers that it may still get.
     pub offers: usize,
 }
 
-/// What the placer hears.
+/// An input of the placer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Word on the list of machines.
+    /// A machine list, changes of it, or the failure to get it.
     List {
-        /// What it brings.
+        /// What the entries are.
         kind: ListKind,
         /// Its entries.
         entries: Vec<Entry>,
@@ -454,7 +459,7 @@
         /// The task.
         task: Task,
     },
-    /// A task that runs already and is now this placer's; attempt 0 counts as made.
+    /// A task that runs already and that this placer takes over; it counts as attempt 0.
     Resident {
         /// The request.
         request: RequestId,
@@ -468,7 +473,7 @@
         /// The request.
         request: RequestId,
     },
-    /// The task is placed; its end is told later.
+    /// A machine accepted the task; an [`Event::Ended`] follows later.
     Bound {
         /// The request.
         request: RequestId,
@@ -479,13 +484,13 @@
     },
     /// An attempt ended.
     Ended(End),
-    /// Word on an attempt that is out.
+    /// A progress message about an open attempt.
     Noted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
-        /// What it says.
+        /// The message.
         note: Note,
     },
     /// A probe ended.
@@ -501,7 +506,7 @@
     Timer,
 }
 
-/// What the placer does.
+/// An output of the placer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Offer the task to a machine.
@@ -513,38 +518,38 @@
         /// When to give this attempt up.
         give_up_at: Seconds,
     },
-    /// Final answer: turned away; asking again is harmless.
+    /// Final answer: refused; a retry by the owner is harmless.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the owner should stay away.
+        /// Seconds that the owner should wait before a retry.
         retry_in_s: Seconds,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Final answer: failed; the task may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Ask a machine for its report.
+    /// Request a load report from a machine.
     Probe {
         /// The machine.
         machine: MachineId,
     },
-    /// Ask for the list's changes from now on.
+    /// Subscribe to the machine list.
     Subscribe,
-    /// Ask for an [`Event::Timer`] at or after this time.
+    /// Request an [`Event::Timer`] at or after this time.
     SetTimer {
         /// When it is due.
         at: Seconds,
     },
-    /// A line for the operators.
+    /// A log line for the operators.
     Log(String),
 }
 
-/// Settings that cannot be served.
+/// Settings with which a placer cannot work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(
-    /// What is wrong with them.
+    /// The fault.
     pub String,
 );
 
--- a/src/placer/mod.rs
+++ b/src/placer/mod.rs
@@ -1,5 +1,5 @@
-//! The decision module: which machine, whether to try again, what is turned away. `rules` decides, `records` keeps
-//! plain measures for it, and `interface` holds the types at its edge.
+//! The decision module: which machine gets a task, whether it is tried again, and which requests are refused.
+//! `rules` takes the decisions, `records` holds its records and measurements, `interface` the public types.
 
 mod interface;
 mod records;
--- a/src/placer/records.rs
+++ b/src/placer/records.rs
@@ -1,67 +1,67 @@
-//! Records and plain measures that the decision module keeps: asks, attempts, means, rates, figures with an
-//! age. No decision and no tuned value: weights and spans are the caller's.
+//! Records and measurements of the decision module: requests, attempts, averages, rates, values with an age.
+//! They take no decision and hold no tuned value: the caller supplies weights and time spans.
 
 use super::interface::{MachineId, RequestId, Room, Seconds, Task};
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 
-/// A mean in which a new sample has a fixed weight.
+/// An exponential moving average: each new sample has the same weight.
 #[derive(Clone)]
-pub(crate) struct Mean {
+pub(crate) struct MovingAverage {
     pub value: f64,
     pub weight: f64,
 }
 
-impl Mean {
+impl MovingAverage {
     pub fn learn(&mut self, sample: f64) {
         self.value += self.weight * (sample - self.value);
     }
 }
 
-/// How often something happens: a count that fades within `span_s`, over the time that it covers.
-pub(crate) struct Pace {
+/// The rate of an event: a count that decays exponentially over `span_s`, divided by the time that it covers.
+pub(crate) struct RateMeter {
     span_s: Seconds,
-    least_s: Seconds,
-    since: Option<Seconds>,
-    at: Seconds,
+    min_span_s: Seconds,
+    first_at: Option<Seconds>,
+    last_at: Seconds,
     count: f64,
 }
 
-impl Pace {
-    /// Counts over about `span_s`, and at the beginning over `least_s` at least.
-    pub fn new(span_s: Seconds, least_s: Seconds) -> Self {
-        Pace { span_s, least_s, since: None, at: 0.0, count: 0.0 }
+impl RateMeter {
+    /// Measures over about `span_s`; at the start, the count is divided by `min_span_s` at least.
+    pub fn new(span_s: Seconds, min_span_s: Seconds) -> Self {
+        RateMeter { span_s, min_span_s, first_at: None, last_at: 0.0, count: 0.0 }
     }
 
     pub fn count(&mut self, now: Seconds) {
-        self.count = self.count * self.left(now) + 1.0;
-        self.since = self.since.or(Some(now));
-        self.at = now;
+        self.count = self.count * self.remaining(now) + 1.0;
+        self.first_at = self.first_at.or(Some(now));
+        self.last_at = now;
     }
 
-    fn left(&self, now: Seconds) -> f64 {
-        (-(now - self.at) / self.span_s).exp()
+    fn remaining(&self, now: Seconds) -> f64 {
+        (-(now - self.last_at) / self.span_s).exp()
     }
 
     /// Events a second.
     pub fn rate(&self, now: Seconds) -> f64 {
-        let Some(since) = self.since else { return 0.0 };
-        let covered = self.span_s * (1.0 - (-(now - since) / self.span_s).exp());
-        self.count * self.left(now) / covered.max(self.least_s)
+        let Some(first_at) = self.first_at else { return 0.0 };
+        let covered = self.span_s * (1.0 - (-(now - first_at) / self.span_s).exp());
+        self.count * self.remaining(now) / covered.max(self.min_span_s)
     }
 }
 
-/// A figure and when it was told.
+/// A reported value and the time of the report.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Told {
+pub(crate) struct TimedValue {
     pub value: f64,
     pub at: Seconds,
 }
 
-impl Told {
-    /// The figure while it is younger than `age_s`, and nothing after that.
-    pub fn within(&self, age_s: Seconds, now: Seconds) -> f64 {
-        if now - self.at < age_s {
+impl TimedValue {
+    /// The value while it is younger than `max_age_s`, and 0 after that.
+    pub fn within(&self, max_age_s: Seconds, now: Seconds) -> f64 {
+        if now - self.at < max_age_s {
             self.value
         } else {
             0.0
@@ -69,93 +69,104 @@
     }
 }
 
-/// Learns how late a source is, in steps: at the true delay, what is left of a view after this placer's own
-/// tasks are taken out changes least. Where own tasks are too few to tell, the first value stays.
-pub(crate) struct Lag {
-    unrest: Vec<f64>,
-    pub usual: usize,
+/// Estimates the delay of a source of views, in steps. At the true delay, the load that remains of a view
+/// after own tasks are subtracted varies least. While own tasks are too rare to learn from, the initial value
+/// stays.
+pub(crate) struct DelayEstimator {
+    /// By delay tried: decayed sum of the changes of that load between views.
+    variation: Vec<f64>,
+    /// The estimated delay.
+    pub steps: usize,
     /// Whether own tasks are common enough to learn from.
-    pub telling: bool,
+    pub learning: bool,
 }
 
-impl Lag {
+impl DelayEstimator {
     pub fn new(tries: usize, first: usize) -> Self {
-        let unrest = (0..tries).map(|k| 1e-5 * k.abs_diff(first) as f64).collect();
-        Lag { unrest, usual: first, telling: false }
+        let variation = (0..tries).map(|k| 1e-5 * k.abs_diff(first) as f64).collect();
+        DelayEstimator { variation, steps: first, learning: false }
     }
 
-    /// Takes what a view leaves to others, under each delay, and what the view before it left; `keep` is the
-    /// share of the older evidence that still counts.
-    pub fn learn(&mut self, left: &[f64], before: &[f64], keep: f64) {
-        for ((unrest, now), then) in self.unrest.iter_mut().zip(left).zip(before) {
-            *unrest = *unrest * keep + (now - then).abs();
+    /// Takes in, for each delay, the load that remains of a view without own tasks, and that of the previous
+    /// view. `decay` is the share of the older evidence that is kept.
+    pub fn learn(&mut self, residuals: &[f64], previous: &[f64], decay: f64) {
+        for ((variation, now), before) in self.variation.iter_mut().zip(residuals).zip(previous) {
+            *variation = *variation * decay + (now - before).abs();
         }
-        let calmest = (0..self.unrest.len()).min_by(|&a, &b| self.unrest[a].total_cmp(&self.unrest[b]));
-        self.usual = calmest.unwrap_or(self.usual);
+        let steadiest =
+            (0..self.variation.len()).min_by(|&a, &b| self.variation[a].total_cmp(&self.variation[b]));
+        self.steps = steadiest.unwrap_or(self.steps);
     }
 }
 
-/// A neutral figure from 0 to 1, the same for the same value at every placer.
-pub(crate) fn mixed(value: impl Hash) -> f64 {
+/// A hash of the value as a number from 0 to 1, the same at every placer.
+pub(crate) fn hash_fraction(value: impl Hash) -> f64 {
     let mut hash = SipHasher13::new();
     value.hash(&mut hash);
     hash.finish() as f64 / u64::MAX as f64
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum State {
-    Held,
-    Trying,
+    /// Waits for its next attempt.
+    Queued,
+    /// An attempt is open that is not bound yet.
+    Offered,
+    /// Bound to a machine.
     Placed,
-    Over,
+    /// Answered, withdrawn or ended.
+    Closed,
 }
 
 /// One offer of a task to a machine.
 pub(crate) struct Attempt {
     pub machine: MachineId,
-    pub sent: Seconds,
+    pub sent_at: Seconds,
     /// No outcome yet.
-    pub out: bool,
+    pub open: bool,
     pub bound: bool,
-    /// Work of its start; none once it runs.
-    pub start: f64,
+    /// Work of its start; 0 once it runs.
+    pub start_work: f64,
     /// Its outcome does not prove that it never ran.
     pub may_have_run: bool,
     /// It ended in an error.
-    pub erred: bool,
-    /// Its connection broke: word of it may come late, and would be taken for word of another one there.
-    pub broke: bool,
+    pub errored: bool,
+    /// Its connection broke. No later attempt may go to the same machine: a late message about this attempt
+    /// would be mistaken for one about the later attempt.
+    pub link_broke: bool,
 }
 
 impl Attempt {
-    pub fn new(machine: MachineId, sent: Seconds, start: f64) -> Self {
-        let (out, bound, may_have_run) = (true, false, true);
-        Attempt { machine, sent, start, out, bound, may_have_run, erred: false, broke: false }
+    pub fn new(machine: MachineId, sent_at: Seconds, start_work: f64) -> Self {
+        let (open, bound, may_have_run) = (true, false, true);
+        Attempt { machine, sent_at, start_work, open, bound, may_have_run, errored: false, link_broke: false }
     }
 }
 
-/// One ask and its attempts.
+/// A request to place a task, and its attempts.
 pub(crate) struct Request {
     pub task: Task,
     pub state: State,
     pub attempts: Vec<Attempt>,
-    pub asked_at: Seconds,
+    pub submitted_at: Seconds,
+    /// End of the pause before the next attempt.
     pub not_before: Seconds,
 }
 
 impl Request {
     pub fn new(task: Task, state: State, now: Seconds) -> Self {
-        Request { task, state, attempts: vec![], asked_at: now, not_before: now }
+        Request { task, state, attempts: vec![], submitted_at: now, not_before: now }
     }
 }
 
-/// A machine that may take the task: its sum, the task's increment there, and its place in the order.
-pub(crate) struct Sum {
+/// A machine that may take the task. Among those whose `score` is low enough, the lowest `rank` is chosen.
+pub(crate) struct Candidate {
     pub machine: MachineId,
-    pub sum: f64,
+    pub score: f64,
+    /// Share of the machine that the task takes.
     pub increment: f64,
-    pub order: f64,
+    pub rank: f64,
 }
 
 /// An own bind (positive) or end (negative).
@@ -166,32 +177,35 @@
     pub room: Room,
 }
 
-/// How long bars are: the first and the longest in seconds and in own tasks, and the longest gap between own
-/// tasks that lengthens them, as a placer that rests must not bar for good.
+/// Lengths of back-offs. The first and the longest are each the longer of a time in seconds and a number of
+/// intervals between own tasks.
 #[derive(Clone, Copy)]
-pub(crate) struct BarSpans {
+pub(crate) struct BackoffSpans {
     pub first: (Seconds, f64),
-    pub most: (Seconds, f64),
+    pub max: (Seconds, f64),
+    /// Longest interval between own tasks that counts: a placer without tasks must not back off for ever.
     pub gap_s: Seconds,
-    /// Share by which each placer's draw shortens them: those with a fault in common do not return in step.
+    /// Share by which a placer's draw shortens them at most: after a common fault, placers do not retry in
+    /// step.
     pub spread: f64,
 }
 
-/// Bars a machine for longer with each failure in a row; those that come in one bar count as one.
+/// Exponential back-off from a machine. Failures during one back-off count as one.
 #[derive(Default)]
-pub(crate) struct Bar {
+pub(crate) struct Backoff {
     pub failures: u32,
     pub until: Seconds,
 }
 
-impl Bar {
-    /// `gap` is the usual time between own tasks, `draw` the placer's own from 0 to 1.
-    pub fn fail(&mut self, now: Seconds, (gap, draw): (Seconds, f64), spans: BarSpans) {
+impl Backoff {
+    /// Records a failure. `gap` is the mean time between own tasks, `draw` a value from 0 to 1 that
+    /// differs by placer.
+    pub fn fail(&mut self, now: Seconds, (gap, draw): (Seconds, f64), limits: BackoffSpans) {
         if now >= self.until {
-            let length = |(seconds, tasks): (Seconds, f64)| seconds.max(tasks * gap.min(spans.gap_s));
-            let first = length(spans.first) * f64::from(2u32.saturating_pow(self.failures));
+            let length = |(seconds, tasks): (Seconds, f64)| seconds.max(tasks * gap.min(limits.gap_s));
+            let first = length(limits.first) * f64::from(2u32.saturating_pow(self.failures));
             self.failures = self.failures.saturating_add(1);
-            self.until = now + first.min(length(spans.most)) * (1.0 - spans.spread * draw);
+            self.until = now + first.min(length(limits.max)) * (1.0 - limits.spread * draw);
         }
     }
 }
--- a/src/placer/rules.rs
+++ b/src/placer/rules.rs
@@ -1,9 +1,11 @@
-//! Every decision of a placer: Priority Least Used with a counter of own binds.
+//! All decisions of a placer, by Priority Least Used: a task goes to the machine with the lowest sum of load,
+//! the task's increment, and a counter of own binds that the load does not show yet (`choose`).
 //!
-//! Interface (types in `interface.rs`): `Placer::new(settings, seed)` and
-//! `Placer::handle(now, event, &mut actions)`. Ordinary path: `choose`. Rule guards: `finish` and
-//! `close_due` (1), `effect_allows` and `refusable` (2), `Machine::ready` (3), `cold_room` (4),
-//! `spread_allows` (5). Same events, same actions: ordered maps, one seeded generator, no clock.
+//! Interface (see `interface.rs`): `Placer::new(settings, seed)`, `Placer::handle(now, event, &mut actions)`.
+//! Rules of the platform: (1) one final answer, in time: `finish`, `answer_due`; (2) safe repeats, and true
+//! refusals: `repeat_allows`, `may_refuse`; (3) nothing new to a draining machine: `Machine::ready`; (4) few
+//! offers to a cold machine: `cold_allows`; (5) services spread out: `spread_allows`. The same events give
+//! the same actions: maps are ordered, the one random generator is seeded, and no clock is read.
 
 use super::interface::*;
 use super::records::*;
@@ -11,79 +13,77 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Seconds. Mean pause after a refusal as full: the paper's; halving it changed nothing.
+/// Mean pause before the next attempt after a refusal as full: the paper's value; half of it changed nothing.
 const PAUSE_MEAN_S: Seconds = 0.1;
-/// Share. The pause is drawn within this share of its mean, so that placers do not return in step.
+/// Share of the mean by which a pause is randomly shorter or longer, so that placers do not retry in step.
 const PAUSE_SPREAD: f64 = 0.8;
-/// Seconds. When an owner that is refused should come back: by then tasks have ended and views are new.
-const COME_BACK_S: Seconds = 1.0;
-/// Ticks. Final answers go out this long before the deadline, so that a late batch is still in time.
-const ANSWER_TICKS: f64 = 5.0;
-/// Seconds. Step of the delays tried when a view's usual delay is learnt from own binds.
-const LAG_STEP_S: Seconds = 0.2;
-/// Count. Delays tried; with the step, up to twelve seconds, past which a view is no guide.
-const LAG_TRIES: usize = 60;
-/// Count of steps. Delay of lists and of reports assumed before anything is learnt: 2 s and 0.4 s.
-const LAG_FIRST: [usize; 2] = [10, 2];
-/// Share. What each view leaves of the older evidence on delays; some thirty views count.
-const LAG_KEEP: f64 = 0.97;
-/// First bar of a machine that failed and the longest one, so that one that came back is found soon: in
-/// seconds and own tasks, the longer of the two. With few own tasks a short bar would end before the next.
-const BAR: BarSpans = BarSpans { first: (0.4, 2.0), most: (3.0, 15.0), gap_s: 2.5, spread: 0.25 };
-/// Count. Other machines at which an ask must have ended in errors before it counts as at fault itself.
-const ERRS_ELSEWHERE: usize = 3;
-/// Count. Own offers that may wait at one machine: it looks at them one by one and its line is short.
-const OFFERS_OUT: usize = 6;
-/// Share. What a machine that refused a task for want of room is taken to have free of what it asks.
-const FULL_UNDER: f64 = 0.99;
-/// Seconds. Least time-out of an attempt: longer than the short stalls of healthy machines, and, where the
-/// answer comes only when the task runs, than a start in a short line.
-const TIMEOUT_LEAST_S: [Seconds; 2] = [1.0, 3.0];
-/// Multiple. An answer that takes so many times as long as usual is given up.
-const TIMEOUT_TIMES: f64 = 8.0;
-/// Seconds. Own tasks are counted over about this long, and at first over this at least.
-const PACE_S: Seconds = 15.0;
-const PACE_LEAST_S: Seconds = 2.0;
-/// Share. Weight of a new sample in a learnt usual time.
-const USUAL_WEIGHT: f64 = 0.1;
-/// Seconds. A machine that takes nothing is forgotten so long after the list last named it; one that was
-/// only out of reach comes back before.
-const GONE_S: Seconds = 60.0;
-/// Seconds. Age past which word of a machine's use no longer raises its load.
-const USE_FRESH_S: Seconds = 3.0;
-/// Seconds. How often a machine is probed where only probes bring reports.
-const PROBE_EVERY_S: Seconds = 1.0;
-/// Count. Probes for fresh reports that one task pays for: each has its price.
-const PROBES_A_TASK: f64 = 0.3;
-/// Seconds. Least time between looks at health, probes and the list; most between looks at the held.
-const LOOK_EVERY_S: Seconds = 0.05;
-/// Seconds. First wait after a failed call for the list; doubles, and stays inside `ask_every_s`.
-const ASK_AGAIN_S: Seconds = 0.5;
-/// Share of `ask_every_s` that a wait between calls for the list may take.
-const ASK_MOST_SHARE: f64 = 0.25;
-/// Windows. Offers to a cold machine are counted over this many `fall_s`: arrivals may bunch.
+/// When a refused owner should retry: by then tasks have ended and views are new.
+const REFUSAL_RETRY_S: Seconds = 1.0;
+/// Final answers go out this many ticks before the deadline, so that a late batch is still in time.
+const ANSWER_MARGIN_TICKS: f64 = 5.0;
+/// Step between the delays that are tried when the delay of a source of views is learnt from own binds.
+const DELAY_STEP_S: Seconds = 0.2;
+/// Number of delays tried: up to twelve seconds with the step above; an older view is no guide.
+const DELAY_STEPS: usize = 60;
+/// Delays of lists and of reports assumed before any is learnt, in steps: 2 s and 0.4 s.
+const INITIAL_DELAY_STEPS: [usize; 2] = [10, 2];
+/// Share of the older evidence on delays that remains after each view: about thirty views count.
+const DELAY_DECAY: f64 = 0.97;
+/// First and longest back-off from a failed machine; short, so that a recovered one is found soon. Each is
+/// the longer of seconds and own task intervals: at a low rate, seconds alone would end before the next task.
+const BACKOFF: BackoffSpans = BackoffSpans { first: (0.4, 2.0), max: (3.0, 15.0), gap_s: 2.5, spread: 0.25 };
+/// Number of other machines at which a request must have ended in errors before it counts as faulty itself.
+const ERRORS_ELSEWHERE: usize = 3;
+/// Own offers that may wait at one machine: it handles them one by one, and its queue is short.
+const MAX_UNANSWERED_OFFERS: usize = 6;
+/// Share of the requested room that is assumed free at a machine that refused a task for lack of room.
+const REFUSED_ROOM_SHARE: f64 = 0.99;
+/// Shortest time-out of an attempt where acceptance confirms a bind (longer than short stalls of healthy
+/// machines), and where only the running task does (longer than a start behind a short queue).
+const MIN_TIMEOUT_S: [Seconds; 2] = [1.0, 3.0];
+/// An attempt times out after this multiple of the average answer time.
+const TIMEOUT_MULTIPLE: f64 = 8.0;
+/// Approximate time over which the rate of own tasks is measured, and the least time assumed at the start.
+const RATE_SPAN_S: Seconds = 15.0;
+const RATE_MIN_SPAN_S: Seconds = 2.0;
+/// Weight (share) of a new sample in a moving average.
+const AVERAGE_WEIGHT: f64 = 0.1;
+/// A machine that takes no tasks is forgotten this long after a list last named it: an outage is shorter.
+const FORGET_MACHINE_S: Seconds = 60.0;
+/// Age at which a reported use no longer raises a machine's load.
+const USE_MAX_AGE_S: Seconds = 3.0;
+/// Interval between probes of a machine where only probes bring load reports.
+const PROBE_INTERVAL_S: Seconds = 1.0;
+/// Number of probes for fresh reports that each task pays for, as probes have a price.
+const PROBES_PER_TASK: f64 = 0.3;
+/// Shortest interval between checks for due probes and list calls; longest between passes over the queue.
+const CHECK_INTERVAL_S: Seconds = 0.05;
+/// First wait after a failed list call; doubles with each failure, up to this share of `ask_every_s`.
+const LIST_RETRY_FIRST_S: Seconds = 0.5;
+const LIST_RETRY_MAX_SHARE: f64 = 0.25;
+/// Multiple of `fall_s` over which offers to a cold machine are counted, as they may arrive in bursts.
 const COLD_WINDOWS: f64 = 1.25;
-/// Share of the always-borne offers that all placers together use.
-const COLD_SHARE: f64 = 0.8;
-/// Count. Standard deviations between the offers that chance admits and the budget.
+/// Share of a cold machine's offer limit that all placers together use.
+const COLD_BUDGET_SHARE: f64 = 0.8;
+/// Number of standard deviations between the offers that random admission lets through and the budget.
 const COLD_DEVIATIONS: f64 = 4.0;
-/// Starts' work. A start where the program is absent, in starts where it is present.
-const ABSENT_START: f64 = 8.0;
-/// Load of a machine in doubt: it is tried only where no other takes the task.
-const DOUBT_LOAD: f64 = 10.0;
-/// Share for each unit of its price. Load of a machine in another zone.
+/// Work of a start where the program is absent, in units of a start where it is present.
+const ABSENT_START_WORK: f64 = 8.0;
+/// Load added to a suspect machine, so that it is chosen only where no other machine takes the task.
+const SUSPECT_LOAD: f64 = 10.0;
+/// Load added to a machine in another zone, as a share per unit of the cross-zone price.
 const ZONE_LOAD: f64 = 2.0;
-/// Share. Load of one start's work that waits already: it delays the next only a little.
-const WAIT_LOAD: f64 = 0.01;
-/// Share. Load of one start's work: asked room does not show it.
+/// Load (share) of one unit of start work that waits already: it delays the next start only a little.
+const BACKLOG_LOAD: f64 = 0.01;
+/// Load (share) of one unit of start work, which the requested room does not show.
 const START_LOAD: f64 = 0.06;
-/// Seconds. Kept free at the end of the time in which a keyed task may be repeated.
+/// Safety margin at the end of the window in which a keyed task may be repeated.
 const KEYED_MARGIN_S: Seconds = 0.5;
-/// Seconds. A machine is taken to keep a program so long after its last task of it.
-const KEPT_S: Seconds = 8.0;
-/// Seconds. Life of a task assumed until some have ended.
-const LIFE_FIRST_S: Seconds = 10.0;
-/// Room or seconds below which two figures are the same: sizes and clocks are rounded.
+/// A machine is assumed to keep a program this long after the last task that uses it.
+const PROGRAM_KEPT_S: Seconds = 8.0;
+/// Run time of a task that is assumed until some tasks have ended.
+const INITIAL_RUNTIME_S: Seconds = 10.0;
+/// Difference in room or seconds below which two values count as equal: sizes and clocks are rounded.
 const EPSILON: f64 = 1e-5;
 
 #[derive(Default)]
@@ -93,42 +93,40 @@
     kind: Option<usize>,
     key: MachineKey,
     size: Room,
-    /// What it accepts in all; a little more, as sizes are rounded.
+    /// Room for all accepted tasks, raised by `EPSILON`, as sizes are rounded.
     limit: Room,
-    /// Rule 3: false from the moment a drain or departure is heard of.
+    /// Rule 3: false as soon as the list reports a drain or removal.
     ready: bool,
-    /// When the list last named it.
     listed_at: Seconds,
-    /// When it last came up, from the list or from its own return; 0 for long ago.
+    /// When it last started: by the list, or assumed when it lost a bound task; 0 for long ago.
     up_since: Seconds,
-    /// Room asked for in the late view, where one came, and the time that it shows.
+    /// Room that accepted tasks ask for in the latest view, if any, and the time at which that was true.
     view: Option<Room>,
     viewed_at: Seconds,
-    /// Late own binds and ends, the sum of all ever, and what views left under each delay.
-    changes: VecDeque<Change>,
-    own_share: f64,
-    left: [Vec<f64>; 2],
-    /// The counter: own binds and ends that the view cannot include, as a share and as room.
+    /// Recent own binds and ends, and the sum of all ever, as a share of the machine.
+    own_changes: VecDeque<Change>,
+    own_total: f64,
+    /// By source of views and delay tried: load that the last view leaves without own tasks.
+    residuals: [Vec<f64>; 2],
+    /// Own binds and ends that the view cannot include yet, as a share and as room.
     counter: f64,
-    counted: Room,
-    /// What own tasks and open attempts ask for here.
-    own: Room,
-    /// Silence and losses: the machine or the way to it is bad, until something comes back.
-    silence: Bar,
-    /// Tasks of a class sent away, in error or handed back untold: it answers but is no use to that
-    /// class until a bind holds.
-    faults: BTreeMap<usize, Bar>,
-    /// Own offers without an answer.
-    waiting: usize,
-    probing: bool,
+    counter_room: Room,
+    /// Room that own tasks and open attempts ask for here.
+    own_room: Room,
+    /// Time-outs and losses: the machine or the network path to it is bad, until it answers again.
+    outage: Backoff,
+    /// By class: it answers, but failed, refused or returned tasks of the class, and has accepted none since.
+    backoffs: BTreeMap<usize, Backoff>,
+    unanswered_offers: usize,
+    probe_pending: bool,
     probed_at: Seconds,
-    /// Load by use, and how poorly tasks are served.
-    used: Told,
-    starved: Told,
-    offers: VecDeque<Seconds>,
-    /// Work of own starts that have not run yet.
-    starting: f64,
-    kept: BTreeMap<ServiceId, Seconds>,
+    /// Share of cores or memory in use, and share of full service that tasks do not get.
+    used_share: TimedValue,
+    starved_share: TimedValue,
+    recent_offers: VecDeque<Seconds>,
+    /// Work of own starts whose tasks do not run yet.
+    backlog: f64,
+    kept_until: BTreeMap<ServiceId, Seconds>,
 }
 
 impl Machine {
@@ -142,110 +140,109 @@
         Machine { kind, key, size, limit, viewed_at: f64::NEG_INFINITY, ..Machine::default() }
     }
 
-    /// The increment of so much room; less than nothing for an end.
+    /// Share of the machine that the room takes; negative for the end of a task.
     fn increment(&self, room: Room) -> f64 {
         room.share_of(self.size)
     }
 
-    /// Load by what is asked, in the late view; none if it was not heard of.
-    fn asked_load(&self) -> Option<f64> {
+    fn requested_load(&self) -> Option<f64> {
         self.view.map(|asked| asked.share_of(self.size))
     }
 
-    /// Whether the task fits. No view can be right that shows less than this placer's own tasks ask for.
+    /// Whether the task fits. A view that shows less than own tasks ask for is wrong, and is raised to that.
     fn fits(&self, task: &Task) -> bool {
-        let asked = (self.view.unwrap_or_default() + self.counted).at_least(self.own) + task.room;
+        let asked = (self.view.unwrap_or_default() + self.counter_room).at_least(self.own_room) + task.room;
         asked.within(self.limit)
     }
 
-    fn record(&mut self, at: Seconds, request: RequestId, room: Room) {
+    fn record_change(&mut self, at: Seconds, request: RequestId, room: Room) {
         let change = Change { at, request, room };
-        self.changes.push_back(change);
-        self.own_share += self.increment(room);
-        self.count(&change, 1.0);
+        self.own_changes.push_back(change);
+        self.own_total += self.increment(room);
+        self.add_to_counter(&change, 1.0);
     }
 
-    fn unrecord(&mut self, request: RequestId) {
-        let at = self.changes.iter().rposition(|c| c.request == request);
-        if let Some(change) = at.and_then(|at| self.changes.remove(at)) {
-            self.own_share -= self.increment(change.room);
-            self.count(&change, -1.0);
+    fn remove_change(&mut self, request: RequestId) {
+        let at = self.own_changes.iter().rposition(|c| c.request == request);
+        if let Some(change) = at.and_then(|at| self.own_changes.remove(at)) {
+            self.own_total -= self.increment(change.room);
+            self.add_to_counter(&change, -1.0);
         }
     }
 
-    fn count(&mut self, change: &Change, sign: f64) {
+    fn add_to_counter(&mut self, change: &Change, sign: f64) {
         if change.at > self.viewed_at {
             self.counter += sign * self.increment(change.room);
-            self.counted = self.counted + change.room * sign;
+            self.counter_room = self.counter_room + change.room * sign;
         }
     }
 
-    /// Takes a view of the room asked for; the newest evidence wins.
-    fn see(&mut self, now: Seconds, free: Room, lag: &mut Lag, source: usize) {
+    /// Takes in a view of the free room, dated by its source's estimated delay, unless a newer one is held.
+    fn apply_view(&mut self, now: Seconds, free: Room, delay: &mut DelayEstimator, source: usize) {
         let asked = self.size - free;
-        if lag.telling {
-            self.learn_lag(now, asked.share_of(self.size), lag, source);
+        if delay.learning {
+            self.learn_delay(now, asked.share_of(self.size), delay, source);
         }
-        let taken_at = now - lag.usual as f64 * LAG_STEP_S;
+        let taken_at = now - delay.steps as f64 * DELAY_STEP_S;
         if self.viewed_at <= taken_at {
             (self.view, self.viewed_at) = (Some(asked), taken_at);
         }
-        self.forget(now);
+        self.refresh_counter(now);
     }
 
-    /// A refusal is a view too, and fresh: less was free than the task asks.
-    fn see_full(&mut self, now: Seconds, full: Room) {
-        let least = self.limit - full * FULL_UNDER;
+    /// Takes in a refusal for lack of room, which is a fresh view: less is free than the task asks for.
+    fn apply_refusal(&mut self, now: Seconds, refused: Room) {
+        let least = self.limit - refused * REFUSED_ROOM_SHARE;
         (self.view, self.viewed_at) = (Some(self.view.unwrap_or_default().at_least(least)), now);
-        self.forget(now);
+        self.refresh_counter(now);
     }
 
-    fn learn_lag(&mut self, now: Seconds, seen: f64, lag: &mut Lag, source: usize) {
-        // Under each delay, the binds since then are not yet in the view.
-        let (mut later, mut others) = (self.changes.iter().rev().peekable(), seen - self.own_share);
-        let under = |k: usize| {
-            while let Some(change) = later.next_if(|c| c.at > now - k as f64 * LAG_STEP_S) {
+    fn learn_delay(&mut self, now: Seconds, load: f64, delay: &mut DelayEstimator, source: usize) {
+        // A view that is `steps` old does not include later own changes: these are not subtracted from it.
+        let (mut later, mut others) = (self.own_changes.iter().rev().peekable(), load - self.own_total);
+        let residual = |steps: usize| {
+            while let Some(change) = later.next_if(|c| c.at > now - steps as f64 * DELAY_STEP_S) {
                 others += self.increment(change.room);
             }
             others
         };
-        let left: Vec<f64> = (0..LAG_TRIES).map(under).collect();
-        lag.learn(&left, &self.left[source], LAG_KEEP);
-        self.left[source] = left;
+        let residuals: Vec<f64> = (0..DELAY_STEPS).map(residual).collect();
+        delay.learn(&residuals, &self.residuals[source], DELAY_DECAY);
+        self.residuals[source] = residuals;
     }
 
-    /// Lets counted binds lapse that the view shows.
-    fn forget(&mut self, now: Seconds) {
-        let kept_from = self.viewed_at.min(now - LAG_TRIES as f64 * LAG_STEP_S);
-        while self.changes.front().is_some_and(|c| c.at < kept_from) {
-            self.changes.pop_front();
+    /// Drops old changes, and recounts those that the view cannot include yet.
+    fn refresh_counter(&mut self, now: Seconds) {
+        let kept_from = self.viewed_at.min(now - DELAY_STEPS as f64 * DELAY_STEP_S);
+        while self.own_changes.front().is_some_and(|c| c.at < kept_from) {
+            self.own_changes.pop_front();
         }
-        let late = self.changes.iter().rev().take_while(|c| c.at > self.viewed_at);
+        let late = self.own_changes.iter().rev().take_while(|c| c.at > self.viewed_at);
         let sums = |(share, room), c: &Change| (share + self.increment(c.room), room + c.room);
-        (self.counter, self.counted) = late.fold((0.0, Room::default()), sums);
+        (self.counter, self.counter_room) = late.fold((0.0, Room::default()), sums);
     }
 
-    /// Its kind is one of the settings', so that its size is known.
-    fn known(&self) -> bool {
+    /// Whether its size is known, that is, whether the settings list its kind.
+    fn has_size(&self) -> bool {
         self.size.cores > 0.0
     }
 
-    /// Whether it failed lately in silence, or in this class, and has not shown that it serves again.
-    fn doubtful(&self, now: Seconds, class: usize) -> bool {
-        self.silence.failures > 0 || self.faults.get(&class).is_some_and(|fault| now < fault.until)
+    /// Whether it recently stopped answering, or failed this class, and has not proved since that it works.
+    fn is_suspect(&self, now: Seconds, class: usize) -> bool {
+        self.outage.failures > 0 || self.backoffs.get(&class).is_some_and(|b| now < b.until)
     }
 
-    fn holds(&self, service: ServiceId, now: Seconds) -> bool {
-        self.kept.get(&service).is_some_and(|&until| now < until)
+    fn has_program(&self, service: ServiceId, now: Seconds) -> bool {
+        self.kept_until.get(&service).is_some_and(|&until| now < until)
     }
 
-    /// Work of starting a task of the service here, in starts where the program is present.
+    /// Work of starting a task of the service here, in units of a start where the program is present.
     fn start_work(&self, service: ServiceId, now: Seconds) -> f64 {
-        let present = self.holds(service, now);
-        1.0 + f64::from(u8::from(!present)) * (ABSENT_START - 1.0)
+        let present = self.has_program(service, now);
+        1.0 + f64::from(u8::from(!present)) * (ABSENT_START_WORK - 1.0)
     }
 
-    fn cold(&self, now: Seconds, settings: &Settings) -> bool {
+    fn is_cold(&self, now: Seconds, settings: &Settings) -> bool {
         self.up_since > 0.0 && now < self.up_since + settings.warm_within_s
     }
 }
@@ -254,78 +251,77 @@
     now + EPSILON >= at
 }
 
-/// The two sources of views.
+/// The sources of views: indices into `view_delays` and `residuals`.
 const FROM_LIST: usize = 0;
 const FROM_REPORT: usize = 1;
 
-/// Decides for one placer.
+/// The state and decisions of one placer.
 pub struct Placer {
     settings: Settings,
     rng: Pcg64Mcg,
     salt: u64,
-    /// When the first event came.
+    /// Time of the first event.
     started_at: Seconds,
     machines: BTreeMap<MachineId, Machine>,
     requests: BTreeMap<RequestId, Request>,
-    held: BTreeSet<RequestId>,
-    /// Tasks and attempts without an outcome, by service and machine (rule 5).
-    out: BTreeMap<(ServiceId, MachineId), u32>,
+    queued: BTreeSet<RequestId>,
+    /// Number of open attempts and placed tasks by service and machine (rule 5).
+    open: BTreeMap<(ServiceId, MachineId), u32>,
     tenant_cores: Vec<f64>,
-    answer_time: Vec<Mean>,
-    life: Mean,
-    lags: [Lag; 2],
-    /// Own tasks.
-    pace: Pace,
-    /// Room for the sums of one pick.
-    sums: Vec<Sum>,
+    answer_time: Vec<MovingAverage>,
+    mean_runtime: MovingAverage,
+    view_delays: [DelayEstimator; 2],
+    submit_rate: RateMeter,
+    /// Buffer of `choose`, kept to save allocations.
+    scored: Vec<Candidate>,
     list_failures: u32,
-    ask_at: Option<Seconds>,
-    look_at: Seconds,
-    wake_at: Seconds,
-    /// Held requests are gone through once a batch.
-    tended_at: Seconds,
-    /// Probes that may be spent on fresh reports alone.
+    resubscribe_at: Option<Seconds>,
+    next_check_at: Seconds,
+    timer_at: Seconds,
+    /// Last pass over the queue: one for each batch of events, which share one time.
+    queue_checked_at: Seconds,
+    /// Number of probes that may be sent only to get fresh reports.
     probe_credit: f64,
-    /// Machines that all picks so far have looked at.
+    /// Number of machines that all calls of `choose` so far have examined.
     pub looked_at: u64,
 }
 
 impl Placer {
-    /// Starts a placer that knows nothing but its settings.
+    /// Creates a placer that knows only its settings.
     ///
     /// # Errors
     /// If the settings cannot be served.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let usual = |first| Mean { value: first, weight: USUAL_WEIGHT };
-        let tries = TIMEOUT_TIMES * settings.max_attempts as f64;
+        let average = |first| MovingAverage { value: first, weight: AVERAGE_WEIGHT };
+        let divisor = TIMEOUT_MULTIPLE * settings.max_attempts as f64;
         Ok(Placer {
             rng: Pcg64Mcg::seed_from_u64(seed),
             salt: seed,
             started_at: f64::NEG_INFINITY,
             machines: BTreeMap::new(),
             requests: BTreeMap::new(),
-            held: BTreeSet::new(),
-            out: BTreeMap::new(),
+            queued: BTreeSet::new(),
+            open: BTreeMap::new(),
             tenant_cores: vec![0.0; settings.tenants.len()],
-            // Until answers came, a time-out leaves each attempt its part of the deadline.
-            answer_time: settings.classes.iter().map(|c| usual(c.deadline_s / tries)).collect(),
-            life: usual(LIFE_FIRST_S),
-            lags: LAG_FIRST.map(|first| Lag::new(LAG_TRIES, first)),
-            pace: Pace::new(PACE_S, PACE_LEAST_S),
-            sums: Vec::new(),
+            // Until the first answers, the time-out gives each attempt an equal part of the deadline.
+            answer_time: settings.classes.iter().map(|c| average(c.deadline_s / divisor)).collect(),
+            mean_runtime: average(INITIAL_RUNTIME_S),
+            view_delays: INITIAL_DELAY_STEPS.map(|first| DelayEstimator::new(DELAY_STEPS, first)),
+            submit_rate: RateMeter::new(RATE_SPAN_S, RATE_MIN_SPAN_S),
+            scored: Vec::new(),
             list_failures: 0,
-            ask_at: None,
-            look_at: 0.0,
-            wake_at: 0.0,
-            tended_at: f64::NEG_INFINITY,
+            resubscribe_at: None,
+            next_check_at: 0.0,
+            timer_at: 0.0,
+            queue_checked_at: f64::NEG_INFINITY,
             probe_credit: 0.0,
             looked_at: 0,
             settings,
         })
     }
 
-    /// Hears one event and appends what is to be done about it.
+    /// Handles one event, and appends the actions that follow from it.
     pub fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         if self.started_at == f64::NEG_INFINITY {
             self.started_at = now;
@@ -333,10 +329,10 @@
         let may_free_room =
             matches!(event, Event::List { .. } | Event::Ended(_) | Event::Probed { .. } | Event::Timer);
         match event {
-            Event::List { kind, entries } => self.list(now, kind, &entries, actions),
+            Event::List { kind, entries } => self.apply_list(now, kind, &entries, actions),
             Event::Submitted { request, task } => self.submitted(now, request, task, actions),
             Event::Resident { request, task, machine } => self.resident(now, request, task, machine),
-            Event::Withdrawn { request } => self.over(request),
+            Event::Withdrawn { request } => self.close_request(request),
             Event::Bound { request, attempt, took_s } => self.bound(now, request, attempt, took_s),
             Event::Ended(end) => {
                 self.ended(now, &end);
@@ -346,33 +342,33 @@
             Event::Probed { machine, outcome, report } => self.probed(now, machine, outcome, report),
             Event::Timer => {}
         }
-        if may_free_room && now > self.tended_at {
-            self.tended_at = now;
-            self.close_due(now, actions);
-            self.place_held(now, actions);
+        if may_free_room && now > self.queue_checked_at {
+            self.queue_checked_at = now;
+            self.answer_due(now, actions);
+            self.place_queued(now, actions);
         }
-        self.look(now, actions);
-        self.wake(now, actions);
+        self.run_checks(now, actions);
+        self.arm_timer(now, actions);
     }
 
-    /// Asks for a timer only where something waits for one.
-    fn wake(&mut self, now: Seconds, actions: &mut Vec<Action>) {
-        let tend = if self.held.is_empty() { f64::INFINITY } else { now + LOOK_EVERY_S };
-        let at = tend.min(self.ask_at.unwrap_or(f64::INFINITY));
-        if at.is_finite() && (due(now, self.wake_at) || at + EPSILON < self.wake_at) {
-            self.wake_at = at;
+    /// Requests a timer only while a queued request or a list call waits for one.
+    fn arm_timer(&mut self, now: Seconds, actions: &mut Vec<Action>) {
+        let check_at = if self.queued.is_empty() { f64::INFINITY } else { now + CHECK_INTERVAL_S };
+        let at = check_at.min(self.resubscribe_at.unwrap_or(f64::INFINITY));
+        if at.is_finite() && (due(now, self.timer_at) || at + EPSILON < self.timer_at) {
+            self.timer_at = at;
             actions.push(Action::SetTimer { at });
         }
     }
 
-    fn list(&mut self, now: Seconds, kind: ListKind, entries: &[Entry], actions: &mut Vec<Action>) {
+    fn apply_list(&mut self, now: Seconds, kind: ListKind, entries: &[Entry], actions: &mut Vec<Action>) {
         if kind == ListKind::Failed {
-            let most = self.settings.ask_every_s * ASK_MOST_SHARE;
-            let wait = ASK_AGAIN_S * f64::from(2u32.saturating_pow(self.list_failures));
+            let longest = self.settings.ask_every_s * LIST_RETRY_MAX_SHARE;
+            let wait = LIST_RETRY_FIRST_S * f64::from(2u32.saturating_pow(self.list_failures));
             self.list_failures = self.list_failures.saturating_add(1);
-            self.ask_at = Some(now + wait.min(most) * self.rng.gen_range(0.5..1.0));
+            self.resubscribe_at = Some(now + wait.min(longest) * self.rng.gen_range(0.5..1.0));
             if self.list_failures == 1 {
-                actions.push(Action::Log("list failed or subscription broke; the old list stands".into()));
+                actions.push(Action::Log("list call failed or subscription broke; keeping old list".into()));
             }
             return;
         }
@@ -380,17 +376,17 @@
             actions.push(Action::Subscribe);
         } else {
             self.list_failures = 0;
-            self.ask_at = None;
+            self.resubscribe_at = None;
         }
-        // Own binds tell a view's delay where each machine gets one within the delays tried.
-        let binds = self.pace.rate(now) * LAG_TRIES as f64 * LAG_STEP_S;
-        let telling = binds >= self.machines.len() as f64;
-        self.lags.iter_mut().for_each(|lag| lag.telling = telling);
+        // Delays are learnt where there is one own bind per machine, on average, in the longest delay tried.
+        let binds = self.submit_rate.rate(now) * DELAY_STEPS as f64 * DELAY_STEP_S;
+        let learning = binds >= self.machines.len() as f64;
+        self.view_delays.iter_mut().for_each(|delay| delay.learning = learning);
         let named: BTreeSet<MachineId> = entries.iter().map(|e| e.machine).collect();
         for entry in entries {
-            self.enter(now, entry);
+            self.apply_entry(now, entry);
         }
-        // What the list passes over did not change: its view is that old at most.
+        // A list of changes omits machines that did not change: their views were still true at this time.
         let unchanged_at = now - 2.0 * self.list_delay();
         for (_, machine) in self.machines.iter_mut().filter(|(id, _)| !named.contains(id)) {
             if kind != ListKind::Changes {
@@ -398,18 +394,18 @@
             } else {
                 machine.viewed_at = machine.viewed_at.max(unchanged_at);
             }
-            machine.forget(now);
+            machine.refresh_counter(now);
         }
-        // On a long day machines and services come and go: of those that went for good nothing is kept.
-        self.machines.retain(|_, m| m.ready || now < m.listed_at + GONE_S);
-        self.machines.values_mut().for_each(|m| m.kept.retain(|_, until| now < *until));
+        // Machines and services come and go: forgets those that are gone, so that memory stays bounded.
+        self.machines.retain(|_, m| m.ready || now < m.listed_at + FORGET_MACHINE_S);
+        self.machines.values_mut().for_each(|m| m.kept_until.retain(|_, until| now < *until));
     }
 
     fn list_delay(&self) -> Seconds {
-        self.lags[FROM_LIST].usual as f64 * LAG_STEP_S
+        self.view_delays[FROM_LIST].steps as f64 * DELAY_STEP_S
     }
 
-    fn enter(&mut self, now: Seconds, entry: &Entry) {
+    fn apply_entry(&mut self, now: Seconds, entry: &Entry) {
         let settings = &self.settings;
         let machine = self.machines.entry(entry.machine).or_insert_with(|| Machine::new(entry, settings));
         machine.ready = entry.standing == Standing::Ready;
@@ -417,55 +413,55 @@
         (machine.zone, machine.cell) = (entry.zone, entry.cell);
         if entry.started > machine.up_since {
             machine.up_since = entry.started;
-            machine.kept.clear();
+            machine.kept_until.clear();
         }
-        if settings.list_shows_room && machine.known() {
-            machine.see(now, entry.free, &mut self.lags[FROM_LIST], FROM_LIST);
+        if settings.list_shows_room && machine.has_size() {
+            machine.apply_view(now, entry.free, &mut self.view_delays[FROM_LIST], FROM_LIST);
         }
     }
 
     fn submitted(&mut self, now: Seconds, id: RequestId, task: Task, actions: &mut Vec<Action>) {
-        self.requests.insert(id, Request::new(task, State::Held, now));
-        self.pace.count(now);
-        if due(now, self.last_call(&task)) {
+        self.requests.insert(id, Request::new(task, State::Queued, now));
+        self.submit_rate.count(now);
+        if due(now, self.answer_by(&task)) {
             return self.finish(id, actions);
         }
-        self.held.insert(id);
+        self.queued.insert(id);
         if self.settings.probes {
-            self.probe_credit = (self.probe_credit + PROBES_A_TASK).min(self.machines.len() as f64);
+            self.probe_credit = (self.probe_credit + PROBES_PER_TASK).min(self.machines.len() as f64);
         }
-        actions.push(Action::SetTimer { at: self.last_call(&task) });
+        actions.push(Action::SetTimer { at: self.answer_by(&task) });
         self.place(now, id, actions);
     }
 
-    /// Rule 1: the latest time at which a request without an attempt out is answered.
-    fn last_call(&self, task: &Task) -> Seconds {
-        task.deadline - ANSWER_TICKS * self.settings.tick_s
+    /// Rule 1: the latest time for the final answer to a request without an open attempt.
+    fn answer_by(&self, task: &Task) -> Seconds {
+        task.deadline - ANSWER_MARGIN_TICKS * self.settings.tick_s
     }
 
     fn resident(&mut self, now: Seconds, id: RequestId, task: Task, machine: MachineId) {
         let mut request = Request::new(task, State::Placed, now);
         request.attempts.push(Attempt { bound: true, ..Attempt::new(machine, now, 0.0) });
         self.requests.insert(id, request);
-        *self.out.entry((task.service, machine)).or_insert(0) += 1;
-        self.use_share(&task, 1.0);
+        *self.open.entry((task.service, machine)).or_insert(0) += 1;
+        self.charge_tenant(&task, 1.0);
         if let Some(machine) = self.machines.get_mut(&machine) {
-            machine.own = machine.own + task.room;
-            machine.kept.insert(task.service, f64::INFINITY);
+            machine.own_room = machine.own_room + task.room;
+            machine.kept_until.insert(task.service, f64::INFINITY);
         }
     }
 
-    fn use_share(&mut self, task: &Task, sign: f64) {
+    fn charge_tenant(&mut self, task: &Task, sign: f64) {
         if let Some(cores) = task.tenant.and_then(|t| self.tenant_cores.get_mut(t)) {
             *cores += sign * task.room.cores;
         }
     }
 
-    fn over(&mut self, id: RequestId) {
-        self.held.remove(&id);
+    fn close_request(&mut self, id: RequestId) {
+        self.queued.remove(&id);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.state = State::Over;
-            if request.attempts.iter().all(|a| !a.out) {
+            request.state = State::Closed;
+            if request.attempts.iter().all(|a| !a.open) {
                 self.requests.remove(&id);
             }
         }
@@ -474,19 +470,19 @@
     fn bound(&mut self, now: Seconds, id: RequestId, attempt: AttemptNo, took_s: Seconds) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(tried) = request.attempts.get_mut(attempt) else { return };
-        if tried.bound || !tried.out {
+        if tried.bound || !tried.open {
             return;
         }
         tried.bound = true;
         request.state = State::Placed;
         let (task, machine) = (request.task, tried.machine);
         self.answer_time[task.class].learn(took_s);
-        self.use_share(&task, 1.0);
+        self.charge_tenant(&task, 1.0);
         if let Some(machine) = self.machines.get_mut(&machine) {
-            machine.silence = Bar::default();
-            machine.faults.remove(&task.class);
-            machine.waiting -= 1;
-            machine.kept.insert(task.service, f64::INFINITY);
+            machine.outage = Backoff::default();
+            machine.backoffs.remove(&task.class);
+            machine.unanswered_offers -= 1;
+            machine.kept_until.insert(task.service, f64::INFINITY);
         }
         if self.settings.confirms_running {
             self.noted(now, id, attempt, Note::Runs);
@@ -498,118 +494,118 @@
         let Some(tried) = request.attempts.get_mut(attempt) else { return };
         let Some(machine) = self.machines.get_mut(&tried.machine) else { return };
         match note {
-            Note::Runs => machine.starting -= std::mem::take(&mut tried.start),
-            Note::Served(share) => machine.starved = Told { value: 1.0 - share, at: now },
-            Note::MachineMemory(share) => machine.used = Told { value: share, at: now },
+            Note::Runs => machine.backlog -= std::mem::take(&mut tried.start_work),
+            Note::Served(share) => machine.starved_share = TimedValue { value: 1.0 - share, at: now },
+            Note::MachineMemory(share) => machine.used_share = TimedValue { value: share, at: now },
             _ => {}
         }
     }
 
-    fn report(&mut self, now: Seconds, id: MachineId, report: Option<Report>) {
+    fn apply_report(&mut self, now: Seconds, id: MachineId, report: Option<Report>) {
         let (Some(machine), Some(report)) = (self.machines.get_mut(&id), report) else { return };
         if let Some(busy) = report.busy {
-            machine.used = Told { value: busy, at: now };
+            machine.used_share = TimedValue { value: busy, at: now };
         }
-        if let Some(free) = report.free.filter(|_| !self.settings.reports_used && machine.known()) {
-            machine.see(now, free, &mut self.lags[FROM_REPORT], FROM_REPORT);
+        if let Some(free) = report.free.filter(|_| !self.settings.reports_used && machine.has_size()) {
+            machine.apply_view(now, free, &mut self.view_delays[FROM_REPORT], FROM_REPORT);
         }
     }
 
     fn probed(&mut self, now: Seconds, id: MachineId, outcome: Outcome, report: Option<Report>) {
-        let gap = (1.0 / self.pace.rate(now), mixed((self.salt, id)));
+        let gap = (1.0 / self.submit_rate.rate(now), hash_fraction((self.salt, id)));
         let Some(machine) = self.machines.get_mut(&id) else { return };
-        machine.probing = false;
+        machine.probe_pending = false;
         if outcome == Outcome::Ok {
-            machine.silence = Bar::default();
+            machine.outage = Backoff::default();
         } else {
-            machine.silence.fail(now, gap, BAR);
+            machine.outage.fail(now, gap, BACKOFF);
         }
-        self.report(now, id, report);
+        self.apply_report(now, id, report);
     }
 
-    /// Books the end of an attempt.
+    /// Updates the records of the request and of its machine after an attempt ended.
     fn ended(&mut self, now: Seconds, end: &End) {
-        let gap = (1.0 / self.pace.rate(now), mixed((self.salt, end.request)));
+        let gap = (1.0 / self.submit_rate.rate(now), hash_fraction((self.salt, end.request)));
         let Some(request) = self.requests.get_mut(&end.request) else { return };
-        let Some(tried) = request.attempts.get_mut(end.attempt).filter(|a| a.out) else { return };
-        tried.out = false;
+        let Some(tried) = request.attempts.get_mut(end.attempt).filter(|a| a.open) else { return };
+        tried.open = false;
         tried.may_have_run = !end.outcome.never_ran();
-        tried.erred = end.outcome == Outcome::Error;
-        tried.broke = end.reason == Reason::Broken;
-        let erred = tried.erred;
+        tried.errored = end.outcome == Outcome::Error;
+        tried.link_broke = end.reason == Reason::Broken;
+        let errored = tried.errored;
         let (task, at, bound) = (request.task, tried.machine, tried.bound);
-        let (ran_s, start) = (now - tried.sent, tried.start);
+        let (ran_s, start_work) = (now - tried.sent_at, tried.start_work);
         let elsewhere: Vec<MachineId> = request
             .attempts
             .iter()
-            .filter(|a| erred && a.erred && a.machine != at)
+            .filter(|a| errored && a.errored && a.machine != at)
             .map(|a| a.machine)
             .collect();
-        let count = self.out.entry((task.service, at)).or_insert(1);
+        let count = self.open.entry((task.service, at)).or_insert(1);
         *count = count.saturating_sub(1);
         let last = *count == 0;
         if last {
-            self.out.remove(&(task.service, at));
+            self.open.remove(&(task.service, at));
         }
         if bound {
-            self.use_share(&task, -1.0);
+            self.charge_tenant(&task, -1.0);
             if end.outcome == Outcome::Ok {
-                self.life.learn(ran_s);
+                self.mean_runtime.learn(ran_s);
             }
         }
         let Some(machine) = self.machines.get_mut(&at) else { return };
-        machine.starting -= start;
-        machine.own = machine.own - task.room;
-        if last && machine.kept.contains_key(&task.service) {
-            machine.kept.insert(task.service, now + KEPT_S);
+        machine.backlog -= start_work;
+        machine.own_room = machine.own_room - task.room;
+        if last && machine.kept_until.contains_key(&task.service) {
+            machine.kept_until.insert(task.service, now + PROGRAM_KEPT_S);
         }
         if bound {
-            machine.record(now, end.request, task.room * -1.0);
+            machine.record_change(now, end.request, task.room * -1.0);
         } else {
-            machine.waiting -= 1;
+            machine.unanswered_offers -= 1;
             if end.outcome.never_ran() {
-                machine.unrecord(end.request);
+                machine.remove_change(end.request);
             }
         }
-        // Guards machines against asks that none can serve: what ends in errors at one machine after another
-        // is at fault itself, and bars none of them.
-        if elsewhere.len() < ERRS_ELSEWHERE {
-            judge(machine, now, gap, end, &task, bound);
+        // A request that fails with errors at one machine after another is itself at fault. It causes no
+        // back-off, and the first back-offs that it may have caused are lifted.
+        if elsewhere.len() < ERRORS_ELSEWHERE {
+            assess(machine, now, gap, end, &task, bound);
         } else {
             for id in elsewhere {
                 if let Some(machine) = self.machines.get_mut(&id) {
-                    machine.faults.retain(|&class, fault| class != task.class || fault.failures > 1);
+                    machine.backoffs.retain(|&class, b| class != task.class || b.failures > 1);
                 }
             }
         }
-        self.report(now, at, end.report);
+        self.apply_report(now, at, end.report);
     }
 
-    /// After an attempt ended: the request is over, is answered, or is placed again.
+    /// After an attempt ended: closes the request, answers it, or places it again.
     fn next_step(&mut self, now: Seconds, end: &End, actions: &mut Vec<Action>) {
         let id = end.request;
         let Some(request) = self.requests.get(&id) else { return };
-        let out = request.attempts.iter().any(|a| a.out);
-        let ended = matches!(request.state, State::Placed | State::Over) && !out;
-        if end.finished || ended {
-            return self.over(id);
+        let open = request.attempts.iter().any(|a| a.open);
+        let finished = matches!(request.state, State::Placed | State::Closed) && !open;
+        if end.finished || finished {
+            return self.close_request(id);
         }
-        if out || request.state != State::Trying {
+        if open || request.state != State::Offered {
             return;
         }
         let limits = request.task.limits;
         let most = self.settings.max_attempts.min(limits.attempts);
-        let spent = end.last || request.attempts.len() >= most;
-        if spent || due(now, self.last_call(&request.task)) || self.hopeless(now, request) {
+        let exhausted = end.last || request.attempts.len() >= most;
+        if exhausted || due(now, self.answer_by(&request.task)) || self.cannot_be_placed(now, request) {
             return self.finish(id, actions);
         }
         let (mean, spread) = limits.pause_s.unwrap_or((PAUSE_MEAN_S, PAUSE_SPREAD));
         let pause = mean * (1.0 + self.rng.gen_range(-spread..=spread));
         let pause = if end.outcome == Outcome::Full { pause } else { 0.0 };
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.state = State::Held;
+        request.state = State::Queued;
         request.not_before = now + pause;
-        self.held.insert(id);
+        self.queued.insert(id);
         if pause > 0.0 {
             actions.push(Action::SetTimer { at: now + pause });
         } else {
@@ -617,48 +613,50 @@
         }
     }
 
-    /// Rule 2: whether a refusal, which promises that a retry is harmless, is true.
-    fn refusable(&self, request: &Request) -> bool {
+    /// Rule 2: whether the request may be refused: a refusal promises that a retry is harmless.
+    fn may_refuse(&self, request: &Request) -> bool {
         let effect = self.settings.classes[request.task.class].effect;
         matches!(effect, Effect::Repeatable | Effect::Keyed { group: Place::All, .. })
             || request.attempts.iter().all(|a| !a.may_have_run)
     }
 
-    /// Rule 1: the one final answer.
+    /// Rule 1: gives the one final answer.
     fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let refusal = Action::Refuse { request: id, retry_in_s: COME_BACK_S };
-        actions.push(if self.refusable(request) { refusal } else { Action::Fail { request: id } });
-        self.over(id);
+        let refusal = Action::Refuse { request: id, retry_in_s: REFUSAL_RETRY_S };
+        actions.push(if self.may_refuse(request) { refusal } else { Action::Fail { request: id } });
+        self.close_request(id);
     }
 
-    /// Rule 1: answers held requests whose time is up.
-    fn close_due(&mut self, now: Seconds, actions: &mut Vec<Action>) {
-        let due = |id: &RequestId| self.requests.get(id).is_some_and(|r| due(now, self.last_call(&r.task)));
-        let ids: Vec<RequestId> = self.held.iter().copied().filter(due).collect();
+    /// Rule 1: answers queued requests whose time is up.
+    fn answer_due(&mut self, now: Seconds, actions: &mut Vec<Action>) {
+        let due = |id: &RequestId| self.requests.get(id).is_some_and(|r| due(now, self.answer_by(&r.task)));
+        let ids: Vec<RequestId> = self.queued.iter().copied().filter(due).collect();
         for id in ids {
             self.finish(id, actions);
         }
     }
 
-    /// Rule 2: whether the request may go to this machine after its earlier attempts.
-    fn effect_allows(&self, now: Seconds, request: &Request, id: MachineId) -> bool {
-        let mut risky = request.attempts.iter().filter(|a| a.may_have_run);
-        if request.attempts.iter().any(|a| a.broke && a.machine == id) {
+    /// Rule 2: whether the request may go to this machine, given its earlier attempts.
+    fn repeat_allows(&self, now: Seconds, request: &Request, id: MachineId) -> bool {
+        let mut uncertain = request.attempts.iter().filter(|a| a.may_have_run);
+        if request.attempts.iter().any(|a| a.link_broke && a.machine == id) {
             return false;
         }
         match self.settings.classes[request.task.class].effect {
-            _ if !request.task.limits.copies => risky.next().is_none(),
+            _ if !request.task.limits.copies => uncertain.next().is_none(),
             Effect::Repeatable => true,
-            Effect::Once => risky.next().is_none(),
+            Effect::Once => uncertain.next().is_none(),
             Effect::Keyed { group, window_s } => {
                 let window_s = window_s.min(request.task.limits.window_s);
-                risky.all(|a| now < a.sent + window_s - KEYED_MARGIN_S && self.together(group, a.machine, id))
+                uncertain.all(|a| {
+                    now < a.sent_at + window_s - KEYED_MARGIN_S && self.share_place(group, a.machine, id)
+                })
             }
         }
     }
 
-    fn together(&self, place: Place, a: MachineId, b: MachineId) -> bool {
+    fn share_place(&self, place: Place, a: MachineId, b: MachineId) -> bool {
         let (Some(first), Some(second)) = (self.machines.get(&a), self.machines.get(&b)) else {
             return a == b || place == Place::All;
         };
@@ -670,161 +668,162 @@
         }
     }
 
-    /// No machine may take the request any more, whatever its room.
-    fn hopeless(&self, now: Seconds, request: &Request) -> bool {
-        let open = |(&id, m): (&MachineId, &Machine)| {
-            m.ready && !m.doubtful(now, request.task.class) && self.effect_allows(now, request, id)
+    /// Whether the request may have run, and no healthy machine is left at which it may be repeated.
+    fn cannot_be_placed(&self, now: Seconds, request: &Request) -> bool {
+        let usable = |(&id, m): (&MachineId, &Machine)| {
+            m.ready && !m.is_suspect(now, request.task.class) && self.repeat_allows(now, request, id)
         };
-        request.attempts.iter().any(|a| a.may_have_run) && !self.machines.iter().any(open)
+        request.attempts.iter().any(|a| a.may_have_run) && !self.machines.iter().any(usable)
     }
 
-    /// Rule 5: tasks of the service that this placer has in the machine's place leave room for one.
+    /// Rule 5: whether the machine's place (such as its zone) may get one more own task of the service.
     fn spread_allows(&self, task: &Task, id: MachineId) -> bool {
         let Some((place, most)) = self.settings.classes[task.class].spread else { return true };
         let from = (task.service, MachineId(0));
         let to = (task.service, MachineId(u32::MAX));
-        let there = self.out.range(from..=to).filter(|((_, other), _)| self.together(place, *other, id));
+        let there = self.open.range(from..=to).filter(|((_, other), _)| self.share_place(place, *other, id));
         there.map(|(_, count)| count).sum::<u32>() < most
     }
 
-    /// Rule 4: this placer's part of the offers that a cold machine always bears is not used up. A placer
-    /// that has just come up forgot its offers: they count as sent.
-    fn cold_room(&self, now: Seconds, machine: &Machine) -> bool {
-        if !machine.cold(now, &self.settings) {
+    /// Rule 4: whether this placer's part of a cold machine's offer budget allows one more. A placer does not
+    /// remember its offers from before a restart, so it sends none to cold machines in its first window.
+    fn cold_allows(&self, now: Seconds, machine: &Machine) -> bool {
+        if !machine.is_cold(now, &self.settings) {
             return true;
         }
         let window = self.settings.fall_s * COLD_WINDOWS;
-        let sent = machine.offers.iter().filter(|&&at| at > now - window).count() as f64;
-        let budget = self.settings.cold_bears * COLD_SHARE;
+        let sent = machine.recent_offers.iter().filter(|&&at| at > now - window).count() as f64;
+        let budget = self.settings.cold_bears * COLD_BUDGET_SHARE;
         let part = budget / f64::from(self.settings.placers);
-        let room = if part >= 1.0 {
+        let allowed = if part >= 1.0 {
             sent + 1.0 <= part
         } else {
             sent == 0.0 && self.admitted(now / window, machine.key, budget)
         };
-        room && now >= self.started_at + window
+        allowed && now >= self.started_at + window
     }
 
-    /// What is left at each machine that takes work: room that nobody is known to have asked for, and the
-    /// offers that its line, or the part of a cold one, still bears.
+    /// Free capacity of each machine that takes work: room that no known task asks for, and the number of
+    /// offers that it may still get (of a cold machine, this placer's part).
     pub fn spaces(&self, now: Seconds) -> Vec<Space> {
         let space = |(&machine, m): (&MachineId, &Machine)| {
-            let left = m.limit - (m.view.unwrap_or_default() + m.counted).at_least(m.own);
-            let part = self.settings.cold_bears * COLD_SHARE / f64::from(self.settings.placers);
-            let offers = if m.cold(now, &self.settings) { part as usize } else { usize::MAX };
+            let left = m.limit - (m.view.unwrap_or_default() + m.counter_room).at_least(m.own_room);
+            let part = self.settings.cold_bears * COLD_BUDGET_SHARE / f64::from(self.settings.placers);
+            let offers = if m.is_cold(now, &self.settings) { part as usize } else { usize::MAX };
             let (offers, size, limit, kind) =
-                (offers.saturating_sub(m.offers.len()), m.size, m.limit, m.kind);
+                (offers.saturating_sub(m.recent_offers.len()), m.size, m.limit, m.kind);
             Space { machine, left, size, limit, kind, offers }
         };
-        let open = |(_, m): &(&MachineId, &Machine)| m.ready && m.known() && m.silence.failures == 0;
-        self.machines.iter().filter(open).map(space).collect()
+        let takes_work = |(_, m): &(&MachineId, &Machine)| m.ready && m.has_size() && m.outage.failures == 0;
+        self.machines.iter().filter(takes_work).map(space).collect()
     }
 
-    /// Where parts are below one offer, chance admits so many placers in a window that the sum stays under
-    /// the budget by some standard deviations, also where two windows of theirs meet in one of the rule's.
+    /// Where a placer's part is below one offer, a random draw admits a few placers in each window: the sum
+    /// stays `COLD_DEVIATIONS` under the budget even where two of their windows overlap one of the rule's.
     fn admitted(&self, windows: f64, key: MachineKey, budget: f64) -> bool {
         let half = COLD_DEVIATIONS / 2.0;
-        let usual = ((budget / 2.0 + half * half).sqrt() - half).powi(2);
-        mixed((self.salt, key, windows as u64)) < usual / f64::from(self.settings.placers)
+        let expected = ((budget / 2.0 + half * half).sqrt() - half).powi(2);
+        hash_fraction((self.salt, key, windows as u64)) < expected / f64::from(self.settings.placers)
     }
 
-    fn may_take(&self, now: Seconds, request: &Request, id: MachineId, machine: &Machine) -> bool {
+    fn eligible(&self, now: Seconds, request: &Request, id: MachineId, machine: &Machine) -> bool {
         let task = &request.task;
         let kind = self.settings.classes[task.class].kind;
         machine.ready
-            && machine.known()
-            && machine.waiting < OFFERS_OUT
+            && machine.has_size()
+            && machine.unanswered_offers < MAX_UNANSWERED_OFFERS
             && (kind.is_none() || kind == machine.kind)
             && machine.fits(task)
-            && self.cold_room(now, machine)
-            && self.effect_allows(now, request, id)
+            && self.cold_allows(now, machine)
+            && self.repeat_allows(now, request, id)
             && self.spread_allows(task, id)
     }
 
-    /// The ordinary path: lowest load + increment + counter, in the band of sums that count as lowest. In
-    /// the band every placer has the same order for a service, so that its tasks meet where its program is.
+    /// The ordinary path: picks among the machines whose score (load + increment + counter) counts as lowest.
+    /// All placers rank these alike for a service, so that its tasks meet at machines that hold its program.
     fn choose(&mut self, now: Seconds, request: RequestId) -> Option<MachineId> {
-        let mut sums = std::mem::take(&mut self.sums);
-        sums.clear();
+        let mut scored = std::mem::take(&mut self.scored);
+        scored.clear();
         let request = self.requests.get(&request)?;
-        let known = self.machines.values().filter_map(Machine::asked_load);
-        let (loads, count) = known.fold((0.0, 0u32), |(sum, count), load| (sum + load, count + 1));
-        let average = loads / f64::from(count.max(1));
+        let loads = self.machines.values().filter_map(Machine::requested_load);
+        let (total, count) = loads.fold((0.0, 0u32), |(sum, count), load| (sum + load, count + 1));
+        let average = total / f64::from(count.max(1));
         for (&id, machine) in &self.machines {
             self.looked_at += 1;
-            if self.may_take(now, request, id, machine) {
-                let mut sum = self.sum(now, &request.task, id, machine, average);
-                let erred = request.attempts.iter().any(|a| a.erred && a.machine == id);
-                sum.sum += DOUBT_LOAD * f64::from(u8::from(erred));
-                sums.push(sum);
+            if self.eligible(now, request, id, machine) {
+                let mut candidate = self.score(now, &request.task, id, machine, average);
+                let errored = request.attempts.iter().any(|a| a.errored && a.machine == id);
+                candidate.score += SUSPECT_LOAD * f64::from(u8::from(errored));
+                scored.push(candidate);
             }
         }
-        let band = self.band(now, &mut sums);
-        let chosen = sums.iter().take_while(|s| s.sum <= band).min_by(|a, b| a.order.total_cmp(&b.order));
-        let chosen = chosen.map(|s| s.machine);
-        self.sums = sums;
+        let band = self.band(now, &mut scored);
+        let chosen = scored.iter().take_while(|c| c.score <= band).min_by(|a, b| a.rank.total_cmp(&b.rank));
+        let chosen = chosen.map(|c| c.machine);
+        self.scored = scored;
         chosen
     }
 
-    fn sum(&self, now: Seconds, task: &Task, id: MachineId, machine: &Machine, average: f64) -> Sum {
-        // Asked is not used: crowded cores, tight memory and poor service raise a machine's load.
-        let asked = machine.asked_load().unwrap_or(average);
-        let load =
-            asked.max(machine.used.within(USE_FRESH_S, now)) + machine.starved.within(USE_FRESH_S, now);
+    fn score(&self, now: Seconds, task: &Task, id: MachineId, machine: &Machine, average: f64) -> Candidate {
+        // Use may exceed the requested room: busy cores, tight memory and poor service raise the load.
+        let asked = machine.requested_load().unwrap_or(average);
+        let load = asked.max(machine.used_share.within(USE_MAX_AGE_S, now))
+            + machine.starved_share.within(USE_MAX_AGE_S, now);
         let increment = machine.increment(task.room);
-        let starts = START_LOAD * machine.start_work(task.service, now) + WAIT_LOAD * machine.starting;
-        let far = self.settings.zone.is_some_and(|zone| zone != machine.zone);
-        let zone = ZONE_LOAD * self.settings.cross_zone_price * f64::from(u8::from(far));
-        let doubt = DOUBT_LOAD * f64::from(u8::from(machine.doubtful(now, task.class)));
-        let sum = load + starts + zone + doubt + increment + machine.counter;
-        let order = mixed((task.service, machine.key));
-        Sum { machine: id, sum, increment, order }
-    }
-
-    /// Sorts the sums and tells up to which they count as lowest: within one increment, and as high as the
-    /// binds of the other placers may have raised the lowest since the view, like water poured over them,
-    /// less one increment, which the first rule covers. With one placer the water is nought.
-    fn band(&self, now: Seconds, sums: &mut [Sum]) -> f64 {
-        sums.sort_by(|a, b| a.sum.total_cmp(&b.sum));
-        let Some(lowest) = sums.first() else { return 0.0 };
-        let narrow = lowest.sum + lowest.increment + EPSILON;
-        let others = f64::from(self.settings.placers - 1) * self.pace.rate(now);
-        let (mut water, mut width) = (others * self.list_delay(), 0.0);
-        let mut level = lowest.sum;
-        for s in sums.iter() {
-            if water <= (s.sum - level) * width {
+        let starts = START_LOAD * machine.start_work(task.service, now) + BACKLOG_LOAD * machine.backlog;
+        let other_zone = self.settings.zone.is_some_and(|zone| zone != machine.zone);
+        let zone = ZONE_LOAD * self.settings.cross_zone_price * f64::from(u8::from(other_zone));
+        let suspect = SUSPECT_LOAD * f64::from(u8::from(machine.is_suspect(now, task.class)));
+        let score = load + starts + zone + suspect + increment + machine.counter;
+        let rank = hash_fraction((task.service, machine.key));
+        Candidate { machine: id, score, increment, rank }
+    }
+
+    /// Sorts the candidates, and returns the score up to which they count as lowest, the higher of two: one
+    /// increment above the lowest score; and the level to which binds by other placers since the view may
+    /// have raised the lowest scores, less the increment that the first one includes. That level is found by
+    /// water-filling with the expected binds (none if there is one placer).
+    fn band(&self, now: Seconds, scored: &mut [Candidate]) -> f64 {
+        scored.sort_by(|a, b| a.score.total_cmp(&b.score));
+        let Some(lowest) = scored.first() else { return 0.0 };
+        let narrow = lowest.score + lowest.increment + EPSILON;
+        let other_binds_per_s = f64::from(self.settings.placers - 1) * self.submit_rate.rate(now);
+        let (mut water, mut width) = (other_binds_per_s * self.list_delay(), 0.0);
+        let mut level = lowest.score;
+        for candidate in scored.iter() {
+            if water <= (candidate.score - level) * width {
                 break;
             }
-            water -= (s.sum - level) * width;
-            (level, width) = (s.sum, width + 1.0 / s.increment);
+            water -= (candidate.score - level) * width;
+            (level, width) = (candidate.score, width + 1.0 / candidate.increment);
         }
         narrow.max(level + water / width - lowest.increment)
     }
 
-    /// Worth of a task for each second and share of the fleet that it takes.
+    /// Worth of a task for each second and each share of the fleet that it takes.
     fn worth(&self, now: Seconds, request: &Request) -> f64 {
         let (task, class) = (&request.task, &self.settings.classes[request.task.class]);
-        let life = task.life_s.unwrap_or(self.life.value).max(1.0);
-        let late = now > request.asked_at + class.on_time_s;
-        let start = class.prompt_start_s * if late { class.late_share } else { 1.0 };
+        let runtime = task.life_s.unwrap_or(self.mean_runtime.value).max(1.0);
+        let late = now > request.submitted_at + class.on_time_s;
+        let start_worth = class.prompt_start_s * if late { class.late_share } else { 1.0 };
         let quota = task.tenant.and_then(|t| self.settings.tenants.get(t)).map(|t| t.quota_cores);
-        let used = task.tenant.and_then(|t| self.tenant_cores.get(t)).copied().unwrap_or(0.0);
-        let over = quota.map_or(0.0, |quota| self.over_quota(used, task.room.cores, quota));
-        let share = 1.0 - over * (1.0 - self.settings.over_share_worth);
-        class.importance * share * (life + start) / life
+        let used_cores = task.tenant.and_then(|t| self.tenant_cores.get(t)).copied().unwrap_or(0.0);
+        let over_quota = quota.map_or(0.0, |quota| self.over_quota(used_cores, task.room.cores, quota));
+        let share = 1.0 - over_quota * (1.0 - self.settings.over_share_worth);
+        class.importance * share * (runtime + start_worth) / runtime
     }
 
-    /// How likely a tenant is over its quota, judged by what it uses here and that figure's chance error.
-    fn over_quota(&self, used: f64, task_cores: f64, quota: f64) -> f64 {
+    /// Probability that a tenant is over its quota, estimated from its use here and the sampling error.
+    fn over_quota(&self, used_cores: f64, task_cores: f64, quota: f64) -> f64 {
         let placers = f64::from(self.settings.placers);
-        let error = placers * (used * task_cores).sqrt();
-        (0.5 + (placers * used - quota) / (2.0 * error.max(EPSILON))).clamp(0.0, 1.0)
+        let error = placers * (used_cores * task_cores).sqrt();
+        (0.5 + (placers * used_cores - quota) / (2.0 * error.max(EPSILON))).clamp(0.0, 1.0)
     }
 
-    /// Places what is held, the worthiest first.
-    fn place_held(&mut self, now: Seconds, actions: &mut Vec<Action>) {
+    /// Places queued requests, those of the highest worth first.
+    fn place_queued(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         let mut order: Vec<(f64, RequestId)> = Vec::new();
-        for &id in &self.held {
+        for &id in &self.queued {
             if let Some(request) = self.requests.get(&id).filter(|r| due(now, r.not_before)) {
                 order.push((self.worth(now, request), id));
             }
@@ -835,70 +834,70 @@
         }
     }
 
-    /// Binds a request, or ends it where nothing may take it any more.
+    /// Offers a request to a machine, or answers it where no machine may take it any more.
     fn place(&mut self, now: Seconds, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(machine) = self.choose(now, id) {
             self.bind(now, id, machine, actions);
-        } else if self.requests.get(&id).is_some_and(|r| self.hopeless(now, r)) {
+        } else if self.requests.get(&id).is_some_and(|r| self.cannot_be_placed(now, r)) {
             self.finish(id, actions);
         }
     }
 
-    fn time_out(&self, class: usize) -> Seconds {
-        let least = TIMEOUT_LEAST_S[usize::from(self.settings.confirms_running)];
-        (self.answer_time[class].value * TIMEOUT_TIMES).max(least)
+    fn attempt_timeout(&self, class: usize) -> Seconds {
+        let least = MIN_TIMEOUT_S[usize::from(self.settings.confirms_running)];
+        (self.answer_time[class].value * TIMEOUT_MULTIPLE).max(least)
     }
 
     fn bind(&mut self, now: Seconds, id: RequestId, at: MachineId, actions: &mut Vec<Action>) {
         let Some(task) = self.requests.get(&id).map(|r| r.task) else { return };
-        let patience = self.time_out(task.class).min(task.limits.attempt_s);
-        let give_up_at = self.last_call(&task).min(now + patience);
+        let timeout = self.attempt_timeout(task.class).min(task.limits.attempt_s);
+        let give_up_at = self.answer_by(&task).min(now + timeout);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(machine) = self.machines.get_mut(&at) else { return };
-        let gap = (1.0 / self.pace.rate(now), mixed((self.salt, id)));
-        let start = machine.start_work(task.service, now);
-        request.attempts.push(Attempt::new(at, now, start));
-        request.state = State::Trying;
-        self.held.remove(&id);
-        *self.out.entry((task.service, at)).or_insert(0) += 1;
-        machine.record(now, id, task.room);
-        machine.own = machine.own + task.room;
-        machine.starting += start;
-        machine.waiting += 1;
-        machine.kept.insert(task.service, f64::INFINITY);
-        machine.offers.push_back(now);
+        let gap = (1.0 / self.submit_rate.rate(now), hash_fraction((self.salt, id)));
+        let start_work = machine.start_work(task.service, now);
+        request.attempts.push(Attempt::new(at, now, start_work));
+        request.state = State::Offered;
+        self.queued.remove(&id);
+        *self.open.entry((task.service, at)).or_insert(0) += 1;
+        machine.record_change(now, id, task.room);
+        machine.own_room = machine.own_room + task.room;
+        machine.backlog += start_work;
+        machine.unanswered_offers += 1;
+        machine.kept_until.insert(task.service, f64::INFINITY);
+        machine.recent_offers.push_back(now);
         let from = now - self.settings.fall_s * COLD_WINDOWS;
-        machine.offers.retain(|&sent| sent > from);
-        // One task tries a doubtful machine again.
-        if machine.silence.failures > 0 {
-            machine.silence.until = give_up_at;
+        machine.recent_offers.retain(|&sent_at| sent_at > from);
+        // One task at a time tests a suspect machine: the back-off runs on until this attempt is given up.
+        if machine.outage.failures > 0 {
+            machine.outage.until = give_up_at;
         }
-        if let Some(fault) = machine.faults.get_mut(&task.class) {
-            fault.fail(now, gap, BAR);
+        if let Some(backoff) = machine.backoffs.get_mut(&task.class) {
+            backoff.fail(now, gap, BACKOFF);
         }
         actions.push(Action::Bind { request: id, machine: at, give_up_at });
     }
 
-    /// Now and then: probes, calls for the list, and a judgement on the fleet as a whole.
-    fn look(&mut self, now: Seconds, actions: &mut Vec<Action>) {
-        if !due(now, self.look_at) {
+    /// Periodic checks: sends the list calls and probes that are due.
+    fn run_checks(&mut self, now: Seconds, actions: &mut Vec<Action>) {
+        if !due(now, self.next_check_at) {
             return;
         }
-        self.look_at = now + LOOK_EVERY_S;
-        if self.ask_at.is_some_and(|at| due(now, at)) {
-            self.ask_at = None;
+        self.next_check_at = now + CHECK_INTERVAL_S;
+        if self.resubscribe_at.is_some_and(|at| due(now, at)) {
+            self.resubscribe_at = None;
             actions.push(Action::Subscribe);
         }
         for (&id, machine) in
-            self.machines.iter_mut().filter(|(_, m)| m.ready && !m.probing && self.settings.probes)
+            self.machines.iter_mut().filter(|(_, m)| m.ready && !m.probe_pending && self.settings.probes)
         {
-            let try_again = machine.silence.failures > 0 && now >= machine.silence.until;
+            let try_again = machine.outage.failures > 0 && now >= machine.outage.until;
             let stale = self.settings.reports == ReportSource::Probes
-                && machine.silence.failures == 0
-                && now >= machine.probed_at + PROBE_EVERY_S;
+                && machine.outage.failures == 0
+                && now >= machine.probed_at + PROBE_INTERVAL_S;
             if try_again || (stale && self.probe_credit >= 1.0) {
                 self.probe_credit -= f64::from(u8::from(stale));
-                machine.probing = true;
+                machine.probe_pending = true;
                 machine.probed_at = now;
                 actions.push(Action::Probe { machine: id });
             }
@@ -906,33 +905,34 @@
     }
 }
 
-/// What an ended attempt says of its machine's health and room.
-fn judge(machine: &mut Machine, now: Seconds, gap: (Seconds, f64), end: &End, task: &Task, bound: bool) {
+/// Updates a machine's health and room by the outcome of an attempt there. `gap` is the mean time between own
+/// tasks, and a value from 0 to 1 that differs by placer.
+fn assess(machine: &mut Machine, now: Seconds, gap: (Seconds, f64), end: &End, task: &Task, bound: bool) {
     match (end.outcome, end.reason) {
-        // Guards against machines that fail one class, answer probes but no offers (below), cannot start,
-        // have a full line, or drain untold. May pass over one for a short bar after one odd refusal.
+        // Guards against machines that fail one class, answer probes but no offers (see below), cannot start
+        // tasks, have a full queue, or drain without notice. One stray refusal also causes a short back-off.
         (Outcome::Full, Reason::LineFull | Reason::NotHere | Reason::Unknown)
         | (Outcome::Lost, Reason::SentAway)
-        | (Outcome::Error, _) => machine.faults.entry(task.class).or_default().fail(now, gap, BAR),
+        | (Outcome::Error, _) => machine.backoffs.entry(task.class).or_default().fail(now, gap, BACKOFF),
         (Outcome::Full, Reason::NoCores) => {
-            machine.see_full(now, Room { memory: f64::INFINITY, ..task.room });
+            machine.apply_refusal(now, Room { memory: f64::INFINITY, ..task.room });
         }
         (Outcome::Full, Reason::NoMemory) => {
-            machine.see_full(now, Room { cores: f64::INFINITY, ..task.room });
+            machine.apply_refusal(now, Room { cores: f64::INFINITY, ..task.room });
         }
-        (Outcome::Lost, Reason::Evicted) => machine.used = Told { value: 1.0, at: now },
+        (Outcome::Lost, Reason::Evicted) => machine.used_share = TimedValue { value: 1.0, at: now },
         (Outcome::Lost, Reason::PushedOut) => {}
-        // Guards against shunning machines, one after the other, for what befell their connections. Whether
-        // one is there still shows in the next dial.
+        // A broken connection causes no back-off: a network fault would take out one machine after another.
+        // Whether this one is still there shows in the next dial.
         (Outcome::Lost, Reason::Broken) => {}
         (Outcome::Lost, _) if bound => {
             machine.up_since = machine.up_since.max(now);
-            machine.kept.clear();
-            machine.silence.fail(now, gap, BAR);
+            machine.kept_until.clear();
+            machine.outage.fail(now, gap, BACKOFF);
         }
         (Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Lost, _) => {
-            machine.silence.fail(now, gap, BAR);
-            machine.faults.entry(task.class).or_default().fail(now, gap, BAR);
+            machine.outage.fail(now, gap, BACKOFF);
+            machine.backoffs.entry(task.class).or_default().fail(now, gap, BACKOFF);
         }
         _ => {}
     }
