--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! A planner of tasks on shared machines: a [`Placer`] decides, and [`life`] runs it on real sockets.
+//! A planner that places tasks on shared machines: a [`Placer`] decides, and [`life`] runs it on
+//! sockets.
 //!
-//! A [`Placer`] hears [`Event`]s, each with the time, and appends the [`Action`]s to be carried out, in
-//! order. It does no I/O and reads no clock; the same events give the same actions.
+//! A [`Placer`] takes [`Event`]s, each with its time, and appends the [`Action`]s that the caller must carry
+//! out, in order. It does no I/O and reads no clock; the same events give the same actions.
 //!
 //! ```
 //! use burlhook::*;
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -1,11 +1,12 @@
-//! A planner without a process: the real core, deciders, membership and codecs on a clock and a network that the caller
-//! plays. Thousands fit into one process, and the same calls give the same bytes, so that messages and bytes are exact
-//! counts.
+//! Simulates a planner without a process: the real core, decision modules, fleet membership and codecs run on
+//! a clock and a network that the caller provides. Thousands of planners fit into one process. The same calls
+//! give the same bytes, so that counts of messages and bytes are exact.
 //!
-//! What comes in is what a socket would bring: a line of the machine list, a client's message, a machine's line, a
-//! datagram of another planner, the text of the operators' file. What goes out is [`Output`]: the bytes that the program
-//! would write, and to whom. The network here takes all bytes at once, so that an offer has left as soon as it is
-//! written. Connections, their queues and their health ([`crate::life`] runs those) are not played.
+//! The inputs are those that a socket or file would bring: a line of the machine list, a client's message, a
+//! machine's line, a datagram of another planner, the text of the operators' file. Each [`Output`] holds the
+//! bytes that the program would write, and their receiver. The simulated network accepts all bytes at once: an
+//! offer counts as sent as soon as it is written. Connections, with their queues and health checks
+//! ([`crate::life`] runs those), are not simulated.
 //!
 //! ```
 //! use burlhook::simulation::{Output, Planner, Start};
@@ -48,51 +49,51 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// What a planner is started with, beside its settings.
+/// Start parameters of a planner, beside its settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
-    /// Seed of what the planner draws, and its life among the planners.
+    /// Seed of the planner's random draws. It also identifies this run of the planner to the other planners.
     pub seed: u64,
-    /// Bytes that all jobs which wait may take.
+    /// Bytes that all jobs without a final answer may take in total.
     pub waiting_bytes: usize,
-    /// Tasks that may stand.
+    /// Number of placed tasks that the planner may hold.
     pub standing: usize,
 }
 
 impl Default for Start {
-    /// What the platform's limit of 192 MB of memory leaves to jobs.
+    /// The part of the platform's memory limit of 192 MB that is left for jobs.
     fn default() -> Self {
         Start { seed: 1, waiting_bytes: 48 << 20, standing: 24_576 }
     }
 }
 
-/// Why what came in was not taken.
+/// Why an input was rejected.
 #[derive(Debug, Error)]
 pub enum Rejected {
-    /// The settings cannot be served.
+    /// No planner can work with the settings.
     #[error("settings: {0}")]
     Settings(String),
-    /// A line of the machine list.
+    /// A line of the machine list cannot be read.
     #[error("machine list: {0}")]
     List(serde_json::Error),
-    /// A client's message.
+    /// A client's message cannot be used.
     #[error("request: {0}")]
     Request(String),
-    /// A machine's line.
+    /// A machine's line cannot be read.
     #[error("machine: {0}")]
     Machine(String),
-    /// A datagram of another planner.
+    /// A datagram of another planner cannot be used.
     #[error("datagram: {0}")]
     Datagram(String),
-    /// The operators' file; one line for each fault.
+    /// The operators' file has faults: one line for each.
     #[error("operators' file: {}", .0.join("; "))]
     Operators(Vec<String>),
-    /// A group that the operators' file does not allow.
+    /// The operators' file does not allow the group.
     #[error("group: {0}")]
     Group(String),
 }
 
-/// What a planner would do outside.
+/// An output of a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Bytes on the connection to a machine.
@@ -111,59 +112,59 @@
     },
     /// A datagram to another planner.
     ToPlanner {
-        /// Its place in the list of planners.
+        /// Its index in the list of planners.
         planner: u16,
         /// The datagram.
         bytes: Vec<u8>,
     },
-    /// A connection to the machine is to be held.
+    /// The planner wants a connection to the machine.
     Connect {
         /// The machine.
         machine: MachineId,
-        /// Where it listens.
+        /// The address at which it listens.
         address: String,
     },
-    /// The machine is gone, and its connection with it.
+    /// The machine was removed: its connection is to be closed.
     Disconnect {
         /// The machine.
         machine: MachineId,
     },
 }
 
-/// A group of like members, as a client asks for it.
+/// A client's request for a group of identical members.
 #[derive(Clone, Debug)]
 pub struct GroupRequest {
-    /// Its id; never used twice.
+    /// Its id, which is never used twice.
     pub id: u64,
-    /// Name of the class of all members.
+    /// Name of the members' class.
     pub class: String,
-    /// The service of all members.
+    /// The members' service.
     pub service: String,
-    /// What each member asks for.
+    /// Cores and memory that each member requests.
     pub room: Room,
-    /// How many they are.
+    /// Number of members.
     pub members: usize,
-    /// Seconds until its client gives up on it.
+    /// Time until the client gives up on it, in seconds.
     pub deadline_s: Seconds,
 }
 
-/// One planner.
+/// A simulated planner.
 pub struct Planner {
     core: Core,
     start: Start,
     fleet: Option<FleetSettings>,
     effects: Vec<Effect>,
-    /// Tests of machines so far.
+    /// Number of probes sent so far, which is the number of the last probe.
     probes: u64,
 }
 
 impl Planner {
-    /// A planner that knows only its settings, in the platform's form.
+    /// Creates a planner that knows only its settings, which have the platform's form.
     ///
     /// # Errors
-    /// If the settings cannot be served.
+    /// If no planner can work with the settings.
     pub fn new(settings: &Value, start: Start) -> Result<Planner, Rejected> {
-        let (settings, words) = vocabulary::settings(settings).map_err(Rejected::Settings)?;
+        let (settings, names) = vocabulary::settings(settings).map_err(Rejected::Settings)?;
         let keep = Keep {
             waiting_bytes: start.waiting_bytes,
             standing: start.standing,
@@ -171,20 +172,20 @@
             over: 0,
             over_s: 0.0,
         };
-        let core = Core::new(settings, words, start.seed, keep);
+        let core = Core::new(settings, names, start.seed, keep);
         let core = core.map_err(|error| Rejected::Settings(error.to_string()))?;
         Ok(Planner { core, start, fleet: None, effects: Vec::new(), probes: 0 })
     }
 
-    /// Takes the text of an operators' file in. The first one that names a fleet has the planner join it; what a later
-    /// one says of the fleet is not looked at.
+    /// Applies the text of an operators' file. The planner joins the fleet of the first file that names one.
+    /// The fleet in later files is ignored.
     ///
     /// # Errors
-    /// All its faults; what was in force stays.
+    /// All faults of the file. The previous file stays in force.
     pub fn configure(&mut self, now: Seconds, text: &str, out: &mut Vec<Output>) -> Result<(), Rejected> {
         let operators = self.read(text)?;
         if let (None, Some(fleet)) = (&self.fleet, operators.fleet) {
-            let (plan, life) = (fleet.plan.clone(), self.life());
+            let (plan, life) = (fleet.plan.clone(), self.incarnation());
             self.fleet = Some(fleet);
             self.apply(now, Input::Join { plan, life }, out);
         }
@@ -194,10 +195,10 @@
         Ok(())
     }
 
-    /// Reads the text of an operators' file and holds it against the settings, without taking it in.
+    /// Checks the text of an operators' file against the settings, without applying it.
     ///
     /// # Errors
-    /// All its faults.
+    /// All faults of the file.
     pub fn check(&mut self, text: &str) -> Result<(), Rejected> {
         self.read(text).map(|_| ())
     }
@@ -206,31 +207,31 @@
         let path = Path::new("operators.json5");
         let text = crate::document::Text::new(path.to_string_lossy(), text);
         let settings = self.core.settings().clone();
-        let read = operators::read(path, &text, &settings, self.core.words());
-        read.map_err(|faults| Rejected::Operators(faults.lines()))
+        let operators = operators::read(path, &text, &settings, self.core.words());
+        operators.map_err(|faults| Rejected::Operators(faults.lines()))
     }
 
-    fn life(&self) -> Life {
+    fn incarnation(&self) -> Life {
         self.start.seed
     }
 
-    /// Takes a line of the machine list in: a change, or the whole list.
+    /// Applies a line of the machine list: a change, or the whole list.
     ///
     /// # Errors
     /// If the line cannot be read.
     pub fn list(&mut self, now: Seconds, line: &[u8], out: &mut Vec<Output>) -> Result<(), Rejected> {
-        self.list_as(now, line, None, out)
+        self.apply_list(now, line, None, out)
     }
 
-    /// Takes a line of the machine list in as the list that was kept from before a restart.
+    /// Applies a line of the machine list as the list that was saved before a restart.
     ///
     /// # Errors
     /// If the line cannot be read.
     pub fn kept_list(&mut self, now: Seconds, line: &[u8], out: &mut Vec<Output>) -> Result<(), Rejected> {
-        self.list_as(now, line, Some(ListKind::Persisted), out)
+        self.apply_list(now, line, Some(ListKind::Persisted), out)
     }
 
-    fn list_as(
+    fn apply_list(
         &mut self,
         now: Seconds,
         line: &[u8],
@@ -238,13 +239,13 @@
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
         if let board::Line::Event(event) = board::read(line).map_err(Rejected::List)? {
-            let (told, notices) = event.notices(self.core.words());
-            self.apply(now, Input::List { kind: kind.unwrap_or(told), notices }, out);
+            let (listed_kind, notices) = event.notices(self.core.words());
+            self.apply(now, Input::List { kind: kind.unwrap_or(listed_kind), notices }, out);
         }
         Ok(())
     }
 
-    /// Takes one message of a client in: a set-up, a task that stands already, or a release.
+    /// Applies one message of a client: a set-up, a task that is placed already, or a release.
     ///
     /// # Errors
     /// If the message cannot be used.
@@ -255,15 +256,15 @@
         bytes: &[u8],
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
-        let wrong = |error: owner::Malformed| Rejected::Request(error.to_string());
-        let whole = owner::take(bytes).map_err(wrong)?;
-        let (_, message) = whole.ok_or_else(|| Rejected::Request("half a message".into()))?;
+        let rejected = |error: owner::Malformed| Rejected::Request(error.to_string());
+        let frame = owner::take(bytes).map_err(rejected)?;
+        let (_, message) = frame.ok_or_else(|| Rejected::Request("the message is incomplete".into()))?;
         let input = match message.kind {
             owner::kind::SET_UP => {
-                owners::request(&mut self.core, now, connection, &message).map_err(wrong)?
+                owners::request(&mut self.core, now, connection, &message).map_err(rejected)?
             }
             owner::kind::RELEASE => {
-                let cause = message.cause().map_err(wrong)?.unwrap_or(cause::OVER);
+                let cause = message.cause().map_err(rejected)?.unwrap_or(cause::OVER);
                 Input::Cancel { job: RequestId(message.task), cause }
             }
             _ => return Ok(()),
@@ -272,7 +273,7 @@
         Ok(())
     }
 
-    /// Takes a group in.
+    /// Submits a group.
     ///
     /// # Errors
     /// If the operators' file in force allows no such group.
@@ -282,12 +283,15 @@
         group: &GroupRequest,
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
-        let wrong = |why: &str| Rejected::Group(why.into());
-        let settings = self.core.group_settings().ok_or_else(|| wrong("groups are off"))?;
-        let class = self.core.words().class(&group.class).ok_or_else(|| wrong("unknown class"))?;
+        let rejected = |why: &str| Rejected::Group(why.into());
+        let settings = self
+            .core
+            .group_settings()
+            .ok_or_else(|| rejected("the operators' file has no section for groups"))?;
+        let class = self.core.words().class(&group.class).ok_or_else(|| rejected("unknown class"))?;
         let figures = settings.figures(&vec![(class, group.service.as_str()); group.members]);
         if group.members > figures.members {
-            return Err(wrong("too many members"));
+            return Err(rejected("too many members"));
         }
         let deadline = now + group.deadline_s;
         let task = Task {
@@ -305,7 +309,7 @@
             service: group.service.clone(),
             ..Spec::default()
         });
-        let ask = GroupAsk {
+        let submission = GroupAsk {
             group: GroupId(group.id),
             members: vec![(spec, task); group.members],
             deadline,
@@ -314,11 +318,11 @@
             key: None,
             digest: 0,
         };
-        self.apply(now, Input::SubmitGroup(ask), out);
+        self.apply(now, Input::SubmitGroup(submission), out);
         Ok(())
     }
 
-    /// Takes one line of a machine in, without its end.
+    /// Applies one line of a machine, without its line end.
     ///
     /// # Errors
     /// If the line cannot be read.
@@ -329,8 +333,8 @@
         line: &[u8],
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
-        let says = node::read(line).map_err(|error| Rejected::Machine(error.to_string()))?;
-        if let Some(input) = says.input(machine, self.core.words()) {
+        let message = node::read(line).map_err(|error| Rejected::Machine(error.to_string()))?;
+        if let Some(input) = message.input(machine, self.core.words()) {
             self.apply(now, input, out);
         }
         Ok(())
@@ -341,10 +345,10 @@
         self.apply(now, Input::LinkUp { machine }, out);
     }
 
-    /// Takes a datagram of another planner in.
+    /// Applies a datagram of another planner.
     ///
     /// # Errors
-    /// If it cannot be read, is of another fleet, or does not come from where it says.
+    /// If it cannot be read, belongs to another fleet, or names another sender than `from`.
     pub fn datagram(
         &mut self,
         now: Seconds,
@@ -352,43 +356,44 @@
         bytes: &[u8],
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
-        let wrong = |why: String| Rejected::Datagram(why);
-        let fleet = self.fleet.as_ref().ok_or_else(|| wrong("the planner is in no fleet".into()))?;
-        let letter = words::read(fleet.digest(), bytes).map_err(|error| wrong(error.to_string()))?;
-        if letter.from != from {
-            return Err(wrong("it names another planner".into()));
+        let rejected = |why: String| Rejected::Datagram(why);
+        let fleet = self.fleet.as_ref().ok_or_else(|| rejected("this planner is in no fleet".into()))?;
+        let datagram = words::read(fleet.digest(), bytes).map_err(|error| rejected(error.to_string()))?;
+        if datagram.from != from {
+            return Err(rejected("it names another planner as its sender".into()));
         }
-        let input = Input::Peer { from: (letter.from, letter.life), words: letter.words };
+        let input = Input::Peer { from: (datagram.from, datagram.life), words: datagram.words };
         self.apply(now, input, out);
         Ok(())
     }
 
-    /// When [`Planner::tick`] is wanted next.
+    /// The time at which [`Planner::tick`] is due next.
     pub fn next_alarm(&self) -> Option<Seconds> {
         self.core.next_alarm()
     }
 
-    /// Time has passed.
+    /// Advances the clock to `now`, and handles what is due.
     pub fn tick(&mut self, now: Seconds, out: &mut Vec<Output>) {
         self.apply(now, Input::Tick, out);
     }
 
-    /// Machines that all picks so far have looked at.
+    /// Number of machines that all placements so far have examined.
     pub fn looked_at(&self) -> u64 {
         self.core.looked_at()
     }
 
-    /// Tasks that stand at a machine.
+    /// Number of tasks placed at a machine.
     pub fn standing_at(&self, machine: MachineId) -> usize {
         self.core.standing_at(machine)
     }
 
-    /// Jobs and groups that wait for their final answer.
+    /// Number of jobs and groups without a final answer.
     pub fn pending(&self) -> usize {
         self.core.pending()
     }
 
-    /// Planners heard lately, and whether this planner holds its own slot; nothing where it is in no fleet.
+    /// Number of planners from which datagrams came recently, and whether this planner holds its own slot.
+    /// `None` if it is in no fleet.
     pub fn membership(&mut self, now: Seconds) -> Option<(usize, bool)> {
         let own = self.fleet.as_ref()?.plan.place.0;
         let view = self.core.fleet_view(now)?;
@@ -399,18 +404,18 @@
         let mut effects = std::mem::take(&mut self.effects);
         self.core.apply(now, input, &mut effects);
         for effect in effects.drain(..) {
-            self.carry_out(now, effect, out);
+            self.perform(now, effect, out);
         }
         self.effects = effects;
     }
 
-    fn carry_out(&mut self, now: Seconds, effect: Effect, out: &mut Vec<Output>) {
+    fn perform(&mut self, now: Seconds, effect: Effect, out: &mut Vec<Output>) {
         let to_machine = |machine, bytes| Output::ToMachine { machine, bytes };
         match effect {
             Effect::Launch { machine, job, attempt, left_s, fence, spec } => {
                 let set_up = SetUp { job, attempt, until: now + left_s, fence, spec };
                 out.push(to_machine(machine, set_up.lines(now)));
-                // Its first byte has left; nothing follows from that yet.
+                // The offer counts as sent at once. That alone causes no effects.
                 self.core.apply(now, Input::Sent { job, attempt }, &mut Vec::new());
             }
             Effect::GiveUp { machine, job } => out.push(to_machine(machine, node::stop(job, cause::OVER))),
@@ -423,9 +428,9 @@
             Effect::Connect { machine, address } => out.push(Output::Connect { machine, address }),
             Effect::Disconnect { machine, departure } => {
                 out.push(Output::Disconnect { machine });
-                let mut follows = Vec::new();
-                self.core.apply(now, Input::Departed { departure, proved: true }, &mut follows);
-                follows.into_iter().for_each(|effect| self.carry_out(now, effect, out));
+                let mut follow_ups = Vec::new();
+                self.core.apply(now, Input::Departed { departure, proved: true }, &mut follow_ups);
+                follow_ups.into_iter().for_each(|effect| self.perform(now, effect, out));
             }
             Effect::Placed { owner, job, body } => {
                 let answer = owner::answer(job.0, &body);
@@ -438,8 +443,8 @@
                     Refusal::Busy | Refusal::Limit(_) => cause::BUSY,
                     Refusal::Deadline => cause::MOOT,
                 };
-                let stay_away_ms = (retry_in_s * 1e3).round().max(0.0) as u64;
-                out.extend(to_client(owner, owner::release(job.0, cause, Some(stay_away_ms))));
+                let retry_in_ms = (retry_in_s * 1e3).round().max(0.0) as u64;
+                out.extend(to_client(owner, owner::release(job.0, cause, Some(retry_in_ms))));
             }
             Effect::Failed { owner, job } => {
                 out.extend(to_client(owner, owner::release(job.0, cause::ERROR, None)));
@@ -448,24 +453,24 @@
                 let cause = if outcome == Outcome::Ok { cause::OVER } else { cause::RESET };
                 out.extend(to_client(owner, owner::release(job.0, cause, None)));
             }
-            Effect::Say { to, words } => self.say(to, &words, out),
-            // What concerns the connections alone: a simulated one has no timer to set anew.
+            Effect::Say { to, words } => self.send_to_planner(to, &words, out),
+            // Effects on connections alone: a simulated connection has no timers.
             Effect::Watch { .. } | Effect::Expel { .. } => {}
             Effect::AttemptOver { .. } | Effect::CutShort { .. } => {}
             Effect::Subscribe | Effect::Changed | Effect::Log(_) => {}
         }
     }
 
-    fn say(&self, to: Member, said: &[crate::decide::budgets::Word], out: &mut Vec<Output>) {
+    fn send_to_planner(&self, to: Member, messages: &[crate::decide::budgets::Word], out: &mut Vec<Output>) {
         let Some(fleet) = &self.fleet else { return };
         let own = fleet.plan.place.0;
-        for bytes in words::write(fleet.digest(), own, self.life(), said) {
+        for bytes in words::write(fleet.digest(), own, self.incarnation(), messages) {
             out.push(Output::ToPlanner { planner: to, bytes });
         }
     }
 }
 
-/// Bytes on the connection that a job came on, where it came on one.
+/// Bytes on the connection on which a job came; none if it did not come on a connection.
 fn to_client(owner: Owner, bytes: Vec<u8>) -> Option<Output> {
     match owner {
         Owner::Link(connection) => Some(Output::ToClient { connection, bytes }),
--- a/src/simulation/tests.rs
+++ b/src/simulation/tests.rs
@@ -1,4 +1,4 @@
-//! Guards the simulation: the same bytes in give the same bytes out as the program's, and what is wrong is refused.
+//! Tests that the simulation reads and writes the same bytes as the program, and rejects invalid inputs.
 
 use super::*;
 use serde_json::json;
@@ -24,12 +24,12 @@
     "hostPort": "10.0.0.1:80", "zone": "north", "machineType": "std", "lifecycle": "in_service", "free": [32, 64]}]}}"#;
 
 fn planner() -> (Planner, MachineId) {
-    let mut planner = Planner::new(&settings(), Start::default()).expect("the settings can be served");
+    let mut planner = Planner::new(&settings(), Start::default()).expect("valid settings");
     let mut out = Vec::new();
-    planner.list(100.0, LIST, &mut out).expect("the list can be read");
+    planner.list(100.0, LIST, &mut out).expect("valid list");
     match &out[..] {
         [Output::Connect { machine, .. }] => (planner, *machine),
-        other => panic!("one connection is wanted: {other:?}"),
+        other => panic!("expected one connection: {other:?}"),
     }
 }
 
@@ -52,25 +52,25 @@
 fn a_request_is_offered_and_answered_once_its_machine_took_it() {
     let (mut planner, machine) = planner();
     let mut out = Vec::new();
-    planner.request(101.0, 9, &set_up(5), &mut out).expect("the request can be read");
-    let [Output::ToMachine { machine: to, bytes }] = &out[..] else { panic!("one offer: {out:?}") };
+    planner.request(101.0, 9, &set_up(5), &mut out).expect("valid request");
+    let [Output::ToMachine { machine: to, bytes }] = &out[..] else { panic!("expected one offer: {out:?}") };
     let offer: Value = serde_json::from_slice(bytes).expect("a line of JSON");
     assert_eq!((*to, &offer["kind"], &offer["uid"]), (machine, &json!("launch"), &json!("0000000000000005")));
     assert_eq!(planner.looked_at(), 1);
     out.clear();
     let line = br#"{"kind": "running", "uid": "0000000000000005", "meta": {}, "body": "ok"}"#;
-    planner.answer(101.5, machine, line, &mut out).expect("the answer can be read");
-    let answer = owner::answer(5, "ok").expect("it fits");
+    planner.answer(101.5, machine, line, &mut out).expect("valid answer");
+    let answer = owner::answer(5, "ok").expect("the answer fits into a message");
     assert_eq!(out, [Output::ToClient { connection: 9, bytes: answer }]);
     assert_eq!((planner.standing_at(machine), planner.pending()), (1, 0));
 }
 
 #[test]
-fn what_cannot_be_used_is_refused_and_changes_nothing() {
+fn invalid_inputs_are_rejected_and_change_nothing() {
     let (mut planner, machine) = planner();
     let mut out = Vec::new();
-    let half = &set_up(5)[..20];
-    assert!(matches!(planner.request(101.0, 9, half, &mut out), Err(Rejected::Request(_))));
+    let truncated = &set_up(5)[..20];
+    assert!(matches!(planner.request(101.0, 9, truncated, &mut out), Err(Rejected::Request(_))));
     assert!(matches!(planner.answer(101.0, machine, b"{}", &mut out), Err(Rejected::Machine(_))));
     assert!(matches!(planner.list(101.0, b"no list", &mut out), Err(Rejected::List(_))));
     assert!(matches!(planner.configure(101.0, "{ limit: 1 }", &mut out), Err(Rejected::Operators(_))));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_datagram_counts_from_the_planner_that_it_names_alone() {
+fn a_datagram_is_accepted_only_from_the_planner_that_it_names() {
     let file = |own: &str| {
         format!(
             "{{ fleet: {{ name: \"f\", own: \"{own}\", listen: \"127.0.0.1:7101\", voters: [\"a\"], planners: [\
@@ -98,16 +98,17 @@
     let mut planners: Vec<Planner> = ["a", "b"]
         .iter()
         .map(|own| {
-            let mut planner =
-                Planner::new(&settings(), Start::default()).expect("the settings can be served");
-            planner.configure(100.0, &file(own), &mut Vec::new()).expect("the file has no fault");
+            let mut planner = Planner::new(&settings(), Start::default()).expect("valid settings");
+            planner.configure(100.0, &file(own), &mut Vec::new()).expect("valid operators' file");
             planner
         })
         .collect();
     let mut out = Vec::new();
     planners[1].tick(101.0, &mut out);
-    let Some(Output::ToPlanner { planner: 0, bytes }) = out.first() else { panic!("a claim: {out:?}") };
+    let Some(Output::ToPlanner { planner: 0, bytes }) = out.first() else {
+        panic!("expected a claim: {out:?}")
+    };
     assert!(planners[0].datagram(101.0, 0, bytes, &mut Vec::new()).is_err());
-    planners[0].datagram(101.0, 1, bytes, &mut Vec::new()).expect("it is from the second planner");
+    planners[0].datagram(101.0, 1, bytes, &mut Vec::new()).expect("a datagram of the second planner");
     assert_eq!(planners[0].membership(101.0).map(|(here, _)| here), Some(1));
 }
--- a/src/vocabulary.rs
+++ b/src/vocabulary.rs
@@ -1,5 +1,5 @@
-//! The settings object, as the simulator's first message and the configuration carry it, and its names.
-//! `run` and `sim` share this translation; nothing here decides anything.
+//! Translates the platform's settings object, which comes in the configuration or in the simulator's first
+//! message, and maps the names of machines, classes and the like to the ids that the program uses.
 
 use crate::placer::*;
 use serde::Deserialize;
@@ -8,11 +8,11 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// The names of one instance: machines as it met them, and the orders of its settings.
+/// The names and ids that one planner uses: of machines, classes, tenants, zones, kinds and report fields.
 pub struct Vocabulary {
-    numbers: BTreeMap<String, MachineId>,
+    ids: BTreeMap<String, MachineId>,
     names: BTreeMap<MachineId, String>,
-    next: u32,
+    next_id: u32,
     classes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
@@ -20,26 +20,26 @@
     fields: Vec<String>,
 }
 
-pub(crate) fn place_of(names: &[String], name: &str) -> Option<usize> {
+pub(crate) fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
 impl Vocabulary {
-    /// The number of a machine; a new name gets the next one.
+    /// The id of a machine; a new name gets the next free id.
     pub fn machine(&mut self, name: &str) -> MachineId {
-        if let Some(&id) = self.numbers.get(name) {
+        if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let id = MachineId(self.next);
-        self.next += 1;
+        let id = MachineId(self.next_id);
+        self.next_id += 1;
         self.names.insert(id, name.to_string());
-        self.numbers.insert(name.to_string(), id);
+        self.ids.insert(name.to_string(), id);
         id
     }
 
-    /// The number of a machine that was met before.
+    /// The id of a machine whose name is known.
     pub fn known(&self, name: &str) -> Option<MachineId> {
-        self.numbers.get(name).copied()
+        self.ids.get(name).copied()
     }
 
     /// The name of a machine.
@@ -47,48 +47,48 @@
         self.names.get(&machine).cloned().unwrap_or_default()
     }
 
-    /// How many machines are known by name.
+    /// The number of known machines.
     pub fn machines(&self) -> usize {
         self.names.len()
     }
 
-    /// Forgets the names of all other machines. A number is never given twice.
+    /// Forgets all machines but those to keep. An id is never assigned twice.
     pub fn keep_machines(&mut self, keep: impl Fn(MachineId) -> bool) {
-        self.numbers.retain(|_, id| keep(*id));
+        self.ids.retain(|_, id| keep(*id));
         self.names.retain(|id, _| keep(*id));
     }
 
-    /// The classes' names, in the settings' order.
+    /// The names of the classes, in the order of the settings.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// The zones' names: those of the settings, then others as they were met.
+    /// The names of the zones: those of the settings, then others in the order of their first use.
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
     /// The index of a class.
     pub fn class(&self, name: &str) -> Option<usize> {
-        place_of(&self.classes, name)
+        index_of(&self.classes, name)
     }
 
     /// The index of a tenant.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        place_of(&self.tenants, name)
+        index_of(&self.tenants, name)
     }
 
     /// The index of a kind of machine.
     pub fn kind(&self, name: &str) -> Option<usize> {
-        place_of(&self.kinds, name)
+        index_of(&self.kinds, name)
     }
 
-    /// The number of a zone; a new name gets the next one.
+    /// The id of a zone; a new name gets the next free id.
     pub fn zone(&mut self, name: &str) -> ZoneId {
-        if place_of(&self.zones, name).is_none() {
+        if index_of(&self.zones, name).is_none() {
             self.zones.push(name.to_string());
         }
-        ZoneId(place_of(&self.zones, name).unwrap_or_default() as u32)
+        ZoneId(index_of(&self.zones, name).unwrap_or_default() as u32)
     }
 
     /// The name of a zone.
@@ -101,19 +101,19 @@
         self.classes.get(class).cloned().unwrap_or_default()
     }
 
-    /// A load report whose values come in the order of the settings.
+    /// A load report from values in the order of the report's fields in the settings.
     pub fn report(&self, values: &[f64]) -> Report {
-        self.report_by(|name| values.get(place_of(&self.fields, name)?).copied())
+        self.report_by(|name| values.get(index_of(&self.fields, name)?).copied())
     }
 
-    /// A load report whose values come by name.
+    /// A load report from a function that returns the value of a named field.
     pub fn report_by(&self, value: impl Fn(&str) -> Option<f64>) -> Report {
         let free = value("x0").zip(value("x1"));
         Report { free: free.map(|(cores, memory)| Room { cores, memory }), busy: value("cpu_share") }
     }
 }
 
-/// The machine's name as a number; it has no meaning of its own, and every planner finds the same.
+/// A hash of a machine's name, the same at every planner.
 pub fn key(name: &str) -> MachineKey {
     let mut hash = SipHasher13::new();
     hash.write(name.as_bytes());
@@ -130,7 +130,7 @@
     kinds: Vec<String>,
     membership_mode: String,
     n_instances: u32,
-    #[serde(default = "whole")]
+    #[serde(default = "default_over_share_worth")]
     over_share_worth: f64,
     permissions: Permissions,
     report: ReportInfo,
@@ -141,7 +141,7 @@
     zone: Option<String>,
 }
 
-fn whole() -> f64 {
+fn default_over_share_worth() -> f64 {
     1.0
 }
 
@@ -204,8 +204,8 @@
     name: String,
 }
 
-fn place(word: &str) -> Result<Option<Place>, String> {
-    Ok(match word {
+fn parse_place(name: &str) -> Result<Option<Place>, String> {
+    Ok(match name {
         "silent" | "" => None,
         "machine" => Some(Place::Machine),
         "cell" => Some(Place::Cell),
@@ -215,7 +215,7 @@
     })
 }
 
-/// The settings of an instance and the words it will meet.
+/// Reads the settings object: the settings of a planner, and the names in them.
 pub fn settings(boot_info: &Value) -> Result<(Settings, Vocabulary), String> {
     let boot = Boot::deserialize(boot_info).map_err(|e| e.to_string())?;
     let family = &boot.family_info;
@@ -223,22 +223,22 @@
     let lengths = [family.apart_by.len(), family.class_kind.len()];
     let more = [family.prompt_start_s.len(), family.spread_most.len()];
     if lengths.iter().chain(&more).any(|&n| n != classes) {
-        return Err("arrays by class differ in length".into());
+        return Err("family_info: arrays by class differ in length from grades".into());
     }
     if family.size_cores.len() != boot.kinds.len() || family.memory_by_kind.len() != boot.kinds.len() {
-        return Err("arrays by kind differ in length".into());
+        return Err("family_info: arrays by kind differ in length from kinds".into());
     }
     let quotas = &family.tenant_quota_cores;
-    // A site without tenants may carry quotas all the same, and one with tenants none.
+    // Quotas without tenants are allowed, and so are tenants without quotas.
     if !quotas.is_empty() && !boot.tenants.is_empty() && quotas.len() != boot.tenants.len() {
-        return Err("arrays by tenant differ in length".into());
+        return Err("family_info: tenant_quota_cores differs in length from tenants".into());
     }
-    let class_of = |(at, grade): (usize, &Grade)| class(at, grade, family);
+    let parse_class = |(at, grade): (usize, &Grade)| class_settings(at, grade, family);
     let price = |name: &str| boot.deductions.get(name).copied().unwrap_or(0.0);
-    let words = Vocabulary {
-        numbers: BTreeMap::new(),
+    let vocabulary = Vocabulary {
+        ids: BTreeMap::new(),
         names: BTreeMap::new(),
-        next: 0,
+        next_id: 0,
         classes: boot.grades.iter().map(|g| g.name.clone()).collect(),
         tenants: boot.tenants.iter().map(|t| t.name.clone()).collect(),
         zones: boot.areas.clone(),
@@ -247,10 +247,10 @@
     };
     let sizes = family.size_cores.iter().zip(&family.memory_by_kind);
     let settings = Settings {
-        classes: boot.grades.iter().enumerate().map(class_of).collect::<Result<_, _>>()?,
+        classes: boot.grades.iter().enumerate().map(parse_class).collect::<Result<_, _>>()?,
         kinds: sizes.map(|(&cores, &memory)| Kind { size: Room { cores, memory } }).collect(),
         tenants: boot.tenants.iter().zip(quotas).map(|(_, &quota_cores)| Tenant { quota_cores }).collect(),
-        zone: boot.zone.and_then(|z| place_of(&boot.areas, &z)).map(|z| ZoneId(z as u32)),
+        zone: boot.zone.and_then(|z| index_of(&boot.areas, &z)).map(|z| ZoneId(z as u32)),
         placers: boot.n_instances,
         ask_for_list: boot.membership_mode == "ask",
         ask_every_s: boot.rules.ask_every_s,
@@ -273,16 +273,16 @@
         over_share_worth: boot.over_share_worth,
         cross_zone_price: price("cross_zone"),
     };
-    Ok((settings, words))
+    Ok((settings, vocabulary))
 }
 
-fn class(at: usize, grade: &Grade, family: &Family) -> Result<Class, String> {
+fn class_settings(at: usize, grade: &Grade, family: &Family) -> Result<Class, String> {
     Ok(Class {
         effect: match grade.idempotency.as_str() {
             "repeatable" => Effect::Repeatable,
             "once" => Effect::Once,
             "by_key" => Effect::Keyed {
-                group: place(&grade.group)?.unwrap_or(Place::All),
+                group: parse_place(&grade.group)?.unwrap_or(Place::All),
                 window_s: grade.repeat_window_s,
             },
             other => return Err(format!("unknown idempotency {other:?}")),
@@ -292,7 +292,7 @@
         late_share: grade.late_share,
         importance: grade.importance,
         prompt_start_s: family.prompt_start_s[at],
-        spread: place(&family.apart_by[at])?.map(|place| (place, family.spread_most[at])),
+        spread: parse_place(&family.apart_by[at])?.map(|place| (place, family.spread_most[at])),
         kind: usize::try_from(family.class_kind[at]).ok(),
     })
 }
