--- a/src/placer/records.rs
+++ b/src/placer/records.rs
@@ -43,7 +43,7 @@
         (-(now - self.last_at) / self.span_s).exp()
     }
 
-    /// Events a second.
+    /// Events per second.
     pub fn rate(&self, now: Seconds) -> f64 {
         let Some(first_at) = self.first_at else { return 0.0 };
         let covered = self.span_s * (1.0 - (-(now - first_at) / self.span_s).exp());
@@ -99,7 +99,7 @@
     }
 }
 
-/// A hash of the value as a number from 0 to 1, the same at every placer.
+/// A hash of the value as a number from 0 to 1. Every placer gets the same number for the same value.
 pub(crate) fn hash_fraction(value: impl Hash) -> f64 {
     let mut hash = SipHasher13::new();
     value.hash(&mut hash);
@@ -169,7 +169,7 @@
     pub rank: f64,
 }
 
-/// An own bind (positive) or end (negative).
+/// A change of the room that own tasks take at a machine: positive for a bind, negative for an end.
 #[derive(Clone, Copy)]
 pub(crate) struct Change {
     pub at: Seconds,
@@ -200,12 +200,12 @@
 impl Backoff {
     /// Records a failure. `gap` is the mean time between own tasks, `draw` a value from 0 to 1 that
     /// differs by placer.
-    pub fn fail(&mut self, now: Seconds, (gap, draw): (Seconds, f64), limits: BackoffSpans) {
+    pub fn fail(&mut self, now: Seconds, (gap, draw): (Seconds, f64), spans: BackoffSpans) {
         if now >= self.until {
-            let length = |(seconds, tasks): (Seconds, f64)| seconds.max(tasks * gap.min(limits.gap_s));
-            let first = length(limits.first) * f64::from(2u32.saturating_pow(self.failures));
+            let length = |(seconds, tasks): (Seconds, f64)| seconds.max(tasks * gap.min(spans.gap_s));
+            let first = length(spans.first) * f64::from(2u32.saturating_pow(self.failures));
             self.failures = self.failures.saturating_add(1);
-            self.until = now + first.min(length(limits.max)) * (1.0 - limits.spread * draw);
+            self.until = now + first.min(length(spans.max)) * (1.0 - spans.spread * draw);
         }
     }
 }
--- a/src/placer/rules.rs
+++ b/src/placer/rules.rs
@@ -259,6 +259,7 @@
 pub struct Placer {
     settings: Settings,
     rng: Pcg64Mcg,
+    /// Makes draws that are taken from hashes differ by placer.
     salt: u64,
     /// Time of the first event.
     started_at: Seconds,
@@ -905,8 +906,7 @@
     }
 }
 
-/// Updates a machine's health and room by the outcome of an attempt there. `gap` is the mean time between own
-/// tasks, and a value from 0 to 1 that differs by placer.
+/// Updates a machine's health and room by the outcome of an attempt there. For `gap`, see [`Backoff::fail`].
 fn assess(machine: &mut Machine, now: Seconds, gap: (Seconds, f64), end: &End, task: &Task, bound: bool) {
     match (end.outcome, end.reason) {
         // Guards against machines that fail one class, answer probes but no offers (see below), cannot start
