--- a/src/wire/hub.rs
+++ b/src/wire/hub.rs
@@ -1,5 +1,6 @@
-//! The hub: the core, and the queues of all connections. Tasks turn bytes into inputs and hand them in here;
-//! effects become queued bytes under the same lock, so that no other task sees a state in between.
+//! The hub: the core, and the output queues of all connections. Connection tasks turn bytes into inputs and
+//! apply them here; the resulting effects become queued bytes under the same lock, so that no other task sees
+//! an intermediate state.
 
 mod client_connections;
 mod clock;
@@ -9,11 +10,11 @@
 mod machine_connections;
 mod turns;
 
-pub use client_connections::{is_unread, OwnerLink};
-pub use clock::seconds;
+pub use client_connections::{has_unread_bytes, OwnerLink};
+pub use clock::to_duration;
 pub use counts::Counts;
 pub use datagrams::DatagramCounts;
-pub use machine_connections::{Leaving, NodeLink};
+pub use machine_connections::{DepartedLink, MachineLink};
 pub use turns::Turns;
 
 use super::outbox::{Sink, Tag, Written};
@@ -29,89 +30,96 @@
 use crate::state::{Core, Effect, Input, Notice, Owner, Refusal};
 use client_connections::Orphan;
 use clock::Clock;
-use held::Held;
+use held::HeldSetUps;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{mpsc, watch, Notify};
 
-/// What the limits leave to connections.
+/// Limits of connections and their queues.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Owners' connections.
+    /// Count. Connections of owners.
     pub owners: usize,
-    /// Bytes that may wait for one owner.
+    /// Bytes. Most that may be queued for one owner.
     pub owner_queue: usize,
-    /// Bytes that may wait for one box.
+    /// Bytes. Most that may be queued for one machine.
     pub box_queue: usize,
-    /// Connections to boxes.
+    /// Count. Connections to machines.
     pub links: usize,
 }
 
-/// All that the lock guards.
+/// The state that the lock guards.
 pub struct Inner {
     pub core: Core,
-    pub nodes: BTreeMap<MachineId, NodeLink>,
+    /// The links to listed machines.
+    pub machine_links: BTreeMap<MachineId, MachineLink>,
+    /// Connections of owners by their ids.
     pub owners: BTreeMap<u64, OwnerLink>,
+    /// Addresses of owners by the ids of their connections, also of some that have closed.
     origins: BTreeMap<u64, IpAddr>,
+    /// Releases that wait for their owner to reconnect.
     orphans: VecDeque<Orphan>,
     effects: Vec<Effect>,
     pub bounds: Bounds,
-    /// The places for connections to boxes.
+    /// The limited places for connections to machines.
     pub places: Places,
-    /// When machines came up.
+    /// When machines started.
     start_times: StartTimes,
-    /// The wall clock has stepped.
+    /// Whether the wall clock has stepped since the program started.
     has_stepped: bool,
-    connects: mpsc::UnboundedSender<(MachineId, u64)>,
-    /// Set-ups that wait until their client is heard.
-    held: Held,
-    /// Connections of machines that left the list and whose tasks have not taken note of it, by their lives.
-    leaving: BTreeMap<u64, Leaving>,
-    next_link: u64,
-    /// Machines that no dial reaches now.
-    pub silent: BTreeSet<MachineId>,
-    /// No new test of an owner is passed.
+    /// Machines to which a connection task is to be started, with the ids of their links.
+    connect_requests: mpsc::UnboundedSender<(MachineId, u64)>,
+    /// Set-ups that are held back until everything their client has sent is read.
+    held: HeldSetUps,
+    /// Links of machines that left the list and whose tasks have not finished yet, by the ids of the links.
+    departed_links: BTreeMap<u64, DepartedLink>,
+    /// The next id of a link to a machine or of a connection of an owner.
+    next_link_id: u64,
+    /// Machines that do not answer dials now.
+    pub unreachable: BTreeSet<MachineId>,
+    /// The planner drains: health checks by owners fail, and new requests on the REST API are refused.
     pub draining: bool,
-    /// Why the last job of the REST front was turned away at the door, and for how many seconds; the front takes it
-    /// out under the lock under which it handed the job in.
+    /// Why the last job from the REST API was rejected without a record of it, and after how many seconds to
+    /// retry. The API takes the value while it still holds the lock under which it submitted the job.
     pub turned_away: Option<(Refusal, Seconds)>,
-    /// Where words to other planners go; none where the planner is in no fleet.
+    /// The queue of messages to other planners; none where the planner is in no fleet.
     pub peers: Option<mpsc::Sender<(Member, Vec<Word>)>>,
-    /// What came and went between planners.
+    /// Datagrams exchanged with other planners.
     pub peer_counts: DatagramCounts,
-    /// What befell attempts and their connections.
+    /// Rare events of attempts and their connections.
     pub counts: Counts,
 }
 
-/// Shared by all tasks.
+/// The hub, shared by all tasks.
 pub struct Hub {
     inner: Mutex<Inner>,
     clock: Clock,
+    /// The turns of the runtime's thread, which bound the age of unread bytes.
     turns: Arc<Turns>,
-    /// What the connections of machines are read into.
+    /// Buffers for reads from machines.
     pub read_buffers: ReadBuffers,
-    /// The planner stops, and takes no new connections from now on.
+    /// Notified when the planner stops and is to accept no more connections.
     pub stop_listening: Notify,
-    /// The next alarm may have come nearer.
+    /// Notified when the time of the core's next alarm has changed.
     pub alarm: Notify,
-    /// Counts changes that watchers may want to read.
+    /// Counts changes of the state, which watchers of the REST API wait for.
     pub changes: watch::Sender<u64>,
 }
 
 impl Hub {
-    /// A hub, and the machines to which a connection is to be held.
+    /// A hub, and the queue of machines to which a connection task is to be started.
     pub fn new(
         core: Core,
         bounds: Bounds,
         turns: Arc<Turns>,
     ) -> (Arc<Hub>, mpsc::UnboundedReceiver<(MachineId, u64)>) {
-        let (connects, wanted) = mpsc::unbounded_channel();
+        let (connect_requests, wanted) = mpsc::unbounded_channel();
         let start_times = StartTimes::new(core.settings().warm_within_s);
         let inner = Inner {
             core,
-            nodes: BTreeMap::new(),
+            machine_links: BTreeMap::new(),
             owners: BTreeMap::new(),
             origins: BTreeMap::new(),
             orphans: VecDeque::new(),
@@ -120,11 +128,11 @@
             places: Places::new(bounds.links),
             start_times,
             has_stepped: false,
-            connects,
-            held: Held::default(),
-            leaving: BTreeMap::new(),
-            next_link: 0,
-            silent: BTreeSet::new(),
+            connect_requests,
+            held: HeldSetUps::default(),
+            departed_links: BTreeMap::new(),
+            next_link_id: 0,
+            unreachable: BTreeSet::new(),
             draining: false,
             turned_away: None,
             peers: None,
@@ -143,16 +151,17 @@
         (Arc::new(hub), wanted)
     }
 
+    /// The time, in seconds since 1970.
     pub fn now(&self) -> Seconds {
         self.clock.now()
     }
 
-    /// The earliest time at which what is read now of a client may have come, as far as is known.
-    pub fn came_at(&self, inner: &Inner, client: u64) -> Seconds {
+    /// The earliest time at which bytes that are read from a client now can have arrived, as far as is known.
+    pub fn earliest_arrival(&self, inner: &Inner, client: u64) -> Seconds {
         let now = self.now();
-        let heard_at = inner.owners.get(&client).map_or(now, |link| link.heard_at);
+        let drained_at = inner.owners.get(&client).map_or(now, |link| link.drained_at);
         let unread_since = self.turns.unread_for().map_or(now, |unread_s| now - unread_s);
-        unread_since.max(heard_at).min(now)
+        unread_since.max(drained_at).min(now)
     }
 
     /// The planner's seed, new with each start.
@@ -160,16 +169,17 @@
         self.lock().core.seed()
     }
 
+    /// Locks the state; a panic of another holder of the lock is ignored.
     pub fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands one input in and carries out what follows.
+    /// Applies an input to the core and carries out its effects.
     pub fn apply(&self, input: Input) {
         self.apply_in(&mut self.lock(), input);
     }
 
-    /// The same where the lock is held already.
+    /// As [`Hub::apply`], for a caller that holds the lock.
     pub fn apply_in(&self, inner: &mut Inner, input: Input) {
         let before = inner.core.next_alarm();
         let mut effects = std::mem::take(&mut inner.effects);
@@ -195,11 +205,11 @@
         }
     }
 
-    /// Hands in what the list tells of machines; `is_live` where it was told as it happened.
+    /// Applies entries of the machine list; `is_live` where they describe changes that have just happened.
     pub fn apply_list(&self, inner: &mut Inner, kind: ListKind, mut notices: Vec<Notice>, is_live: bool) {
         if !inner.has_stepped && self.clock.has_stepped() {
             inner.has_stepped = true;
-            tracing::warn!("the wall clock stepped: machines count as started when that is heard");
+            tracing::warn!("wall clock stepped: machines now count as started when they are reported");
         }
         let heard = Heard { now: self.now(), is_live, has_stepped: inner.has_stepped };
         for Notice { entry, .. } in &mut notices {
@@ -211,39 +221,40 @@
         self.apply_in(inner, Input::List { kind, notices });
     }
 
-    /// Writes what waits for a machine, as long as the link is that one, and tells how far it came. What left is
-    /// booked also where the connection broke in the midst of it: it may have run.
-    pub fn write_out(
+    /// Writes what is queued for a machine and returns how far it came, or nothing where the link has been
+    /// replaced or its address has changed. Set-ups of which at least one byte was written are recorded as
+    /// sent even if the connection breaks during the write, because they may have run.
+    pub fn flush_to_machine(
         &self,
-        (machine, life, address): (MachineId, u64, &str),
+        (machine, link_id, address): (MachineId, u64, &str),
         sink: &impl Sink,
-        left: &mut Vec<(RequestId, AttemptNo)>,
+        sent: &mut Vec<(RequestId, AttemptNo)>,
     ) -> io::Result<Option<Written>> {
         let mut inner = self.lock();
-        // Whoever was stopped between deciding and writing looks at the time once more: what is due by now takes back
-        // what must not leave any longer.
+        // The process may have been suspended between the decision and this write. Alarms that are due by now
+        // run first: they withdraw set-ups whose time has passed.
         if inner.core.next_alarm().is_some_and(|at| at <= self.now()) {
             self.apply_in(&mut inner, Input::Tick);
         }
-        let is_current = |l: &NodeLink| l.life == life && l.address == address;
-        if !inner.nodes.get(&machine).is_some_and(is_current) {
+        let is_current = |l: &MachineLink| l.link_id == link_id && l.address == address;
+        if !inner.machine_links.get(&machine).is_some_and(is_current) {
             return Ok(None);
         }
-        inner.hold_unheard(self.now(), machine);
-        let Some(link) = inner.nodes.get_mut(&machine) else { return Ok(None) };
-        link.outbox.renew(self.now());
-        let written = link.outbox.write(sink, left);
-        for (job, attempt) in left.drain(..) {
+        inner.hold_back_unread(self.now(), machine);
+        let Some(link) = inner.machine_links.get_mut(&machine) else { return Ok(None) };
+        link.outbox.reencode_set_ups(self.now());
+        let written = link.outbox.write(sink, sent);
+        for (job, attempt) in sent.drain(..) {
             self.apply_in(&mut inner, Input::Sent { job, attempt });
         }
         written.map(Some)
     }
 
-    /// Runs the core's alarms, for as long as the program does.
+    /// Runs the core's alarms for as long as the program runs.
     pub async fn keep_time(self: Arc<Self>) {
         loop {
             let next = self.lock().core.next_alarm();
-            let wait = next.map(|at| seconds(at - self.now()));
+            let wait = next.map(|at| to_duration(at - self.now()));
             match wait {
                 Some(wait) if wait.is_zero() => self.apply(Input::Tick),
                 Some(wait) => {
@@ -260,6 +271,7 @@
 }
 
 impl Inner {
+    /// Carries out one effect of the core.
     fn carry_out(&mut self, now: Seconds, effect: Effect) {
         match effect {
             Effect::Launch { machine, job, attempt, left_s, fence, spec } => {
@@ -267,33 +279,34 @@
                 self.write_set_up(now, machine, set_up);
             }
             Effect::GiveUp { machine, job } => {
-                let was_held = self.held.take_back(machine, job);
-                let Some(link) = self.nodes.get_mut(&machine) else { return };
-                if !was_held && !link.outbox.take_back(job) {
-                    self.write_node(machine, node::stop(job, cause::OVER), Tag::Plain);
+                let was_held = self.held.withdraw(machine, job);
+                let Some(link) = self.machine_links.get_mut(&machine) else { return };
+                if !was_held && !link.outbox.withdraw(job) {
+                    self.write_to_machine(machine, node::stop(job, cause::OVER), Tag::Plain);
                 }
             }
             Effect::Stop { machine, job, cause } => {
-                self.write_node(machine, node::stop(job, cause), Tag::Kept)
+                self.write_to_machine(machine, node::stop(job, cause), Tag::ResendToMachine)
             }
             Effect::Probe { machine } => {
-                let Some(link) = self.nodes.get_mut(&machine) else { return };
+                let Some(link) = self.machine_links.get_mut(&machine) else { return };
                 link.probes += 1;
                 link.probe = Some(now);
                 let line = node::check(link.probes);
-                self.write_node(machine, line, Tag::Plain);
+                self.write_to_machine(machine, line, Tag::Plain);
             }
             Effect::Ask { machine, ask } => {
-                self.write_node(machine, node::check(node::PROOF | ask), Tag::Plain);
+                self.write_to_machine(machine, node::check(node::PROOF | ask), Tag::Plain);
             }
             Effect::Connect { machine, address } => self.connect(machine, address),
-            Effect::Watch { machine } => self.look_anew(machine),
+            Effect::Watch { machine } => self.reschedule_check(machine),
             Effect::Disconnect { machine, departure } => self.disconnect(now, machine, departure),
             Effect::Placed { owner, job, body } => {
-                // An answer that fits into no message must not leave its owner without one.
+                // An answer that is too long for a message is replaced by a release, so that its owner gets
+                // an answer.
                 let answer = owner::answer(job.0, &body);
                 let bytes = answer.unwrap_or_else(|| owner::release(job.0, cause::ERROR, None));
-                self.write_owner(now, owner, bytes, false);
+                self.write_to_owner(now, owner, bytes, false);
             }
             Effect::Refused { owner, job, why, retry_in_s } => {
                 let cause = match why {
@@ -301,19 +314,19 @@
                     Refusal::Busy | Refusal::Limit(_) => cause::BUSY,
                     Refusal::Deadline => cause::MOOT,
                 };
-                // What is turned away at the door leaves no job that its client could look at.
+                // A job that was rejected on arrival has no record that its client could query.
                 if owner == Owner::Rest && self.core.job(job).is_none() {
                     self.turned_away = Some((why, retry_in_s));
                 }
-                let stay_away = Some((retry_in_s * 1e3).round().max(0.0) as u64);
-                self.write_owner(now, owner, owner::release(job.0, cause, stay_away), false);
+                let retry_after = Some((retry_in_s * 1e3).round().max(0.0) as u64);
+                self.write_to_owner(now, owner, owner::release(job.0, cause, retry_after), false);
             }
             Effect::Failed { owner, job } => {
-                self.write_owner(now, owner, owner::release(job.0, cause::ERROR, None), false);
+                self.write_to_owner(now, owner, owner::release(job.0, cause::ERROR, None), false);
             }
             Effect::Released { owner, job, outcome } => {
                 let cause = if outcome == Outcome::Ok { cause::OVER } else { cause::RESET };
-                self.write_owner(now, owner, owner::release(job.0, cause, None), true);
+                self.write_to_owner(now, owner, owner::release(job.0, cause, None), true);
             }
             Effect::Expel { link } => {
                 if let Some(link) = self.owners.get_mut(&link) {
@@ -323,7 +336,7 @@
             }
             Effect::Say { to, words } => {
                 if let Some(peers) = &self.peers {
-                    // Where too many wait they are dropped, as a network would.
+                    // Messages beyond the capacity of the queue are dropped, as the network may drop them.
                     let _ = peers.try_send((to, words));
                 }
             }
@@ -334,13 +347,14 @@
         }
     }
 
-    /// New bounds; connections that are up stay until their places are wanted.
+    /// Sets new limits; connections beyond them stay until their places are needed.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
         self.places.set_most(bounds.links);
     }
 
-    /// Whether nothing waits to be answered or written to an owner, and nothing that they sent waits to be read.
+    /// Whether no job waits for its answer, and no owner has unwritten answers, unread bytes or an incomplete
+    /// message under way.
     pub fn is_quiet(&self, now: Seconds) -> bool {
         self.core.pending() == 0 && self.owners.values().all(|link| link.is_quiet(now))
     }
--- a/src/wire/hub/client_connections.rs
+++ b/src/wire/hub/client_connections.rs
@@ -1,5 +1,5 @@
-//! The hub's side of the connections of clients: what waits to be written to each, which one makes room for another,
-//! and orphaned answers: ends of tasks whose client has no connection now.
+//! The hub's side of the connections of owners (clients): the queue of each, which one is closed to make room
+//! for another, and orphaned releases, that is, ends of tasks whose owner has no connection now.
 
 use super::held::HeldSetUp;
 use super::Inner;
@@ -16,34 +16,38 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Count. Releases that wait for an owner to come back.
-const MOST_ORPHANS: usize = 4096;
-/// Seconds. A release that found no owner for so long is of no use any more.
-const ORPHAN_S: Seconds = 10.0;
-/// Count. Connections of owners whose address is remembered after they closed.
-const MOST_ORIGINS: usize = 4096;
+/// Count. Most releases that wait for their owner to reconnect.
+const MAX_ORPHANS: usize = 4096;
+/// Seconds. How long a release waits for its owner to reconnect.
+const ORPHAN_TTL_S: Seconds = 10.0;
+/// Count. Connections of owners, closed ones included, whose address is remembered.
+const MAX_ORIGINS: usize = 4096;
 
-/// Seconds. A connection on which nothing was said to its owner, and nothing is open, is closed after so long.
-const NOTHING_SAID_S: Seconds = 2.0;
-/// Seconds. So is one on which nothing is open and nothing stands: owners close theirs after 4 s.
-const IDLE_S: Seconds = 8.0;
+/// Seconds. A connection on which nothing was ever sent to its owner, and nothing is open, is closed after
+/// this time.
+const UNANSWERED_TIMEOUT_S: Seconds = 2.0;
+/// Seconds. An idle connection without open jobs or running tasks is closed after this time; owners close
+/// theirs after 4 s.
+const IDLE_TIMEOUT_S: Seconds = 8.0;
 
-/// Seconds. The rest of a message comes within so long of what came of it before, where it comes at all.
-const REST_S: Seconds = 0.1;
-/// Seconds. What was read so long ago counts as read now.
-const HEARD_S: Seconds = 0.05;
-/// Seconds. An owner that has not read its last answer for so long never will.
-const UNREAD_S: Seconds = 5.0;
+/// Seconds. A stopping planner waits this long after the last byte of an incomplete message for the rest of
+/// it.
+const PARTIAL_GRACE_S: Seconds = 0.1;
+/// Seconds. A connection that was read until nothing was left counts as read for this time.
+const DRAINED_VALID_S: Seconds = 0.05;
+/// Seconds. A connection whose owner has not read its last answer for this time is closed.
+const READ_TIMEOUT_S: Seconds = 5.0;
 
-/// Whether bytes have come on a connection that nobody has read yet; also where the system cannot tell now.
-pub fn is_unread(stream: &TcpStream) -> bool {
+/// Whether the receive buffer of a connection holds unread bytes; also true where the system is too short of
+/// resources to tell.
+pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     match peek(stream) {
         Ok(count) => count > 0,
         Err(error) => is_shortage(&error),
     }
 }
 
-/// How many bytes have come, up to one; none at the end of the connection.
+/// The number of unread bytes, one at most; zero at the end of the stream.
 fn peek(stream: &TcpStream) -> io::Result<usize> {
     let mut one = [MaybeUninit::uninit(); 1];
     loop {
@@ -54,34 +58,35 @@
     }
 }
 
-/// An owner's connection.
+/// A connection of an owner.
 pub struct OwnerLink {
-    /// Its socket, to see what has come on it; none in tests without one.
+    /// The socket, to check it for unread bytes; none in tests without a socket.
     pub stream: Option<Arc<TcpStream>>,
     pub outbox: Outbox,
+    /// Wakes the task of the connection: something is to be written, or the connection is to be closed.
     pub wake: Arc<Notify>,
     ip: IpAddr,
     opened: Seconds,
-    /// When it last sent or was sent something of use.
+    /// When the last set-up arrived on it or the last message was queued for it.
     pub used: Seconds,
-    /// When the last byte came of a message that is not whole.
-    pub half_at: Option<Seconds>,
-    /// When nothing of it was unread last.
-    pub(super) heard_at: Seconds,
-    /// Something was said to its owner.
-    told: bool,
-    /// It is closed once nothing is open on it.
+    /// When the last byte of an incomplete message arrived, if there is one.
+    pub partial_at: Option<Seconds>,
+    /// When it was last known to have no unread bytes.
+    pub(super) drained_at: Seconds,
+    /// Whether anything was ever sent to its owner.
+    ever_answered: bool,
+    /// Whether it is to be closed once no job is open on it.
     pub(super) expelled: bool,
-    /// It is to be closed: its owner does not read, or its place is needed.
+    /// Why it is to be closed now, if it is.
     pub closing: Option<&'static str>,
 }
 
 impl OwnerLink {
-    /// Whether nothing waits to be written or read on it, and no message is under way.
+    /// Whether nothing waits to be written or read on it, and no incomplete message is under way.
     pub(super) fn is_quiet(&self, now: Seconds) -> bool {
-        let is_unread = self.stream.as_ref().is_some_and(|s| is_unread(s));
-        let is_under_way = self.half_at.is_some_and(|at| now - at < REST_S);
-        self.outbox.is_empty() && !is_unread && !is_under_way
+        let has_unread_bytes = self.stream.as_ref().is_some_and(|s| has_unread_bytes(s));
+        let is_under_way = self.partial_at.is_some_and(|at| now - at < PARTIAL_GRACE_S);
+        self.outbox.is_empty() && !has_unread_bytes && !is_under_way
     }
 
     pub(super) fn push(&mut self, bytes: Vec<u8>, now: Seconds) {
@@ -90,13 +95,14 @@
 
     fn push_as(&mut self, bytes: Vec<u8>, now: Seconds, tag: Tag) {
         if !self.outbox.push(bytes, tag) {
-            self.closing = Some("it does not read its answers");
+            self.closing = Some("the owner does not read its answers");
         }
-        (self.told, self.used) = (true, now);
+        (self.ever_answered, self.used) = (true, now);
         self.wake.notify_one();
     }
 }
 
+/// A release that waits for its owner to reconnect.
 pub(super) struct Orphan {
     at: Seconds,
     ip: Option<IpAddr>,
@@ -104,9 +110,10 @@
 }
 
 impl Inner {
-    /// Sends to the connection that a job came on. The end of what stood goes to another of the same owner if
-    /// need be, or waits for the next one that is opened.
-    pub(super) fn write_owner(&mut self, now: Seconds, owner: Owner, bytes: Vec<u8>, standing: bool) {
+    /// Queues a message for the owner of a job, on the connection that the job came on. The end of a running
+    /// task (`is_task_end`) goes to another connection of the same owner if that one is closed, or waits for
+    /// the next one.
+    pub(super) fn write_to_owner(&mut self, now: Seconds, owner: Owner, bytes: Vec<u8>, is_task_end: bool) {
         let Owner::Link(origin) = owner else { return };
         let ip = self.origins.get(&origin).copied();
         let same = |l: &OwnerLink| ip.is_none_or(|ip| ip == l.ip);
@@ -114,15 +121,16 @@
             links.iter().rev().find(|(_, l)| l.closing.is_none() && same(l)).map(|(&id, _)| id)
         };
         let to = match self.owners.get(&origin) {
-            Some(link) if link.closing.is_none() || !standing => Some(origin),
-            _ if standing => other(&self.owners),
+            Some(link) if link.closing.is_none() || !is_task_end => Some(origin),
+            _ if is_task_end => other(&self.owners),
             _ => return,
         };
         match to.and_then(|to| self.owners.get_mut(&to)) {
-            // The end of what stood is due elsewhere should this connection end before it is written.
-            Some(link) => link.push_as(bytes, now, if standing { Tag::Due } else { Tag::Plain }),
+            // The end of a running task is sent on another connection if this one closes before it is
+            // written.
+            Some(link) => link.push_as(bytes, now, if is_task_end { Tag::Reroute } else { Tag::Plain }),
             None => {
-                if self.orphans.len() >= MOST_ORPHANS {
+                if self.orphans.len() >= MAX_ORPHANS {
                     self.orphans.pop_front();
                 }
                 self.orphans.push_back(Orphan { at: now, ip, bytes });
@@ -130,14 +138,15 @@
         }
     }
 
-    /// Books a new connection of an owner, which gets what waited for one. Where all places are taken, the one of
-    /// least use makes room: silent crowds and owners that stay for good must not keep usual ones out.
+    /// Registers a new connection of an owner, and queues the releases that waited for it. At the limit of
+    /// connections the least useful one is closed: many silent connections, or owners that never disconnect,
+    /// must not lock others out.
     pub fn open_owner(&mut self, now: Seconds, ip: IpAddr) -> Option<(u64, Arc<Notify>)> {
         if self.owners.len() >= self.bounds.owners {
             self.make_room()?;
         }
-        let id = self.next_link;
-        self.next_link += 1;
+        let id = self.next_link_id;
+        self.next_link_id += 1;
         let wake = Arc::new(Notify::new());
         let outbox = Outbox::new(self.bounds.owner_queue);
         let mut link = OwnerLink {
@@ -147,40 +156,44 @@
             ip,
             opened: now,
             used: now,
-            half_at: None,
-            heard_at: now,
-            told: false,
+            partial_at: None,
+            drained_at: now,
+            ever_answered: false,
             expelled: false,
             closing: None,
         };
         self.orphans.retain_mut(|orphan| {
             let fits = orphan.ip.is_none_or(|other| other == ip);
             if fits {
-                link.push_as(std::mem::take(&mut orphan.bytes), now, Tag::Due);
+                link.push_as(std::mem::take(&mut orphan.bytes), now, Tag::Reroute);
             }
-            !fits && now - orphan.at < ORPHAN_S
+            !fits && now - orphan.at < ORPHAN_TTL_S
         });
         self.origins.insert(id, ip);
-        if self.origins.len() > MOST_ORIGINS {
+        if self.origins.len() > MAX_ORIGINS {
             self.origins.pop_first();
         }
         self.owners.insert(id, link);
         Some((id, wake))
     }
 
-    /// Closes the connection that is of least use: silent before idle, and idle before one on which something stands;
-    /// of these the one that was used last the longest ago. Nothing where each has something open.
+    /// Closes the least useful connection: a silent one before an idle one, an idle one before one with
+    /// running tasks, and among equals the least recently used. Returns `None` where none can be closed.
     pub fn make_room(&mut self) -> Option<()> {
         let use_of = |(&id, link): (&u64, &OwnerLink)| {
             let owed = self.core.owed(id);
             let free = owed.open == 0 && link.outbox.is_empty();
-            free.then_some(((link.closing.is_none(), owed.standing > 0, link.told, micros(link.used)), id))
+            free.then_some((
+                (link.closing.is_none(), owed.standing > 0, link.ever_answered, micros(link.used)),
+                id,
+            ))
         };
         let mut free: Vec<_> = self.owners.iter().filter_map(use_of).collect();
         free.sort_unstable();
-        // What has come on it unread is taken, and would be lost with it.
-        let unread =
-            |id: &u64| self.owners.get(id).and_then(|l| l.stream.as_ref()).is_some_and(|s| is_unread(s));
+        // Unread bytes have been acknowledged by the system and would be lost with the connection.
+        let unread = |id: &u64| {
+            self.owners.get(id).and_then(|l| l.stream.as_ref()).is_some_and(|s| has_unread_bytes(s))
+        };
         let least = free.into_iter().map(|(_, id)| id).find(|id| !unread(id))?;
         if let Some(link) = self.owners.remove(&least) {
             link.wake.notify_one();
@@ -188,76 +201,80 @@
         Some(())
     }
 
-    /// Books the end of an owner's connection; ends of what stood that were not written whole on it go to another.
+    /// Removes a closed connection of an owner; ends of running tasks that were not completely written move
+    /// to another one.
     pub fn close_owner(&mut self, now: Seconds, id: u64) {
         let Some(mut link) = self.owners.remove(&id) else { return };
-        for bytes in link.outbox.take_due() {
-            self.write_owner(now, Owner::Link(id), bytes, true);
+        for bytes in link.outbox.take_reroutable() {
+            self.write_to_owner(now, Owner::Link(id), bytes, true);
         }
     }
 
-    /// Why a connection is of no more use, where it is not.
-    pub fn useless(&self, now: Seconds, id: u64) -> Option<&'static str> {
+    /// Why a connection can be closed, if it can.
+    pub fn close_reason(&self, now: Seconds, id: u64) -> Option<&'static str> {
         let link = self.owners.get(&id)?;
         let owed = self.core.owed(id);
         if !link.outbox.is_empty() {
-            return (now - link.used > UNREAD_S).then_some("it does not read its answers");
+            return (now - link.used > READ_TIMEOUT_S).then_some("the owner does not read its answers");
         }
         if owed.open > 0 {
             return None;
         }
         if link.expelled {
-            return Some("it used an id twice");
+            return Some("the owner used a job id twice");
         }
-        let silent = !link.told && owed.standing == 0 && now - link.opened > NOTHING_SAID_S;
-        let idle = owed.standing == 0 && now - link.used > IDLE_S;
-        silent.then_some("nothing of use came on it").or(idle.then_some("it is idle"))
+        let silent = !link.ever_answered && owed.standing == 0 && now - link.opened > UNANSWERED_TIMEOUT_S;
+        let idle = owed.standing == 0 && now - link.used > IDLE_TIMEOUT_S;
+        silent.then_some("no request within the time limit").or(idle.then_some("idle"))
     }
 
-    /// Whether all that a client said has been read, its end included, up to a moment ago.
-    fn is_heard(&mut self, now: Seconds, client: u64) -> bool {
+    /// Whether everything that a client has sent, a close included, was read up to at most
+    /// [`DRAINED_VALID_S`] ago.
+    fn is_drained(&mut self, now: Seconds, client: u64) -> bool {
         let Some(link) = self.owners.get_mut(&client) else { return true };
-        let Some(stream) = link.stream.as_ref().filter(|_| now - link.heard_at >= HEARD_S) else {
+        let Some(stream) = link.stream.as_ref().filter(|_| now - link.drained_at >= DRAINED_VALID_S) else {
             return true;
         };
-        let is_heard = matches!(peek(stream), Err(error) if error.kind() == io::ErrorKind::WouldBlock || is_shortage(&error));
-        if is_heard {
-            link.heard_at = now;
+        let is_drained = matches!(peek(stream), Err(error) if error.kind() == io::ErrorKind::WouldBlock || is_shortage(&error));
+        if is_drained {
+            link.drained_at = now;
         }
-        is_heard
+        is_drained
     }
 
-    /// Holds back the set-ups for a machine whose clients said something that is not read: that may be their end.
-    pub(super) fn hold_unheard(&mut self, now: Seconds, machine: MachineId) {
-        let Some(link) = self.nodes.get(&machine) else { return };
-        let life = link.life;
+    /// Holds back the set-ups for a machine whose clients have sent bytes that are not read yet: these may be
+    /// a cancellation or a close.
+    pub(super) fn hold_back_unread(&mut self, now: Seconds, machine: MachineId) {
+        let Some(link) = self.machine_links.get(&machine) else { return };
+        let link_id = link.link_id;
         for job in link.outbox.unsent().collect::<Vec<_>>() {
             let Some(Owner::Link(client)) = self.core.job(job).map(|job| job.owner) else { continue };
-            if self.is_heard(now, client) {
+            if self.is_drained(now, client) {
                 continue;
             }
-            let set_up = self.nodes.get_mut(&machine).and_then(|link| link.outbox.take_out(job));
+            let set_up = self.machine_links.get_mut(&machine).and_then(|link| link.outbox.remove_set_up(job));
             if let Some(set_up) = set_up {
                 self.counts.held_set_ups += 1;
-                self.held.push(HeldSetUp { client, machine, life, set_up });
+                self.held.push(HeldSetUp { client, machine, link_id, set_up });
             }
         }
     }
 
-    /// Nothing that a client said is unread: what was held back for it goes on, but for what it gave up.
-    pub fn client_heard(&mut self, now: Seconds, client: u64) {
+    /// Records that a client has no unread bytes, and queues its held set-ups again, except those it has
+    /// cancelled.
+    pub fn client_drained(&mut self, now: Seconds, client: u64) {
         if let Some(link) = self.owners.get_mut(&client) {
-            link.heard_at = now;
+            link.drained_at = now;
         }
-        for HeldSetUp { machine, life, set_up, .. } in self.held.take(client) {
-            if self.nodes.get(&machine).is_some_and(|link| link.life == life) {
+        for HeldSetUp { machine, link_id, set_up, .. } in self.held.take(client) {
+            if self.machine_links.get(&machine).is_some_and(|link| link.link_id == link_id) {
                 self.write_set_up(now, machine, set_up);
             }
         }
     }
 
-    /// Answers a connection directly.
-    pub fn say(&mut self, now: Seconds, link: u64, bytes: Vec<u8>) {
+    /// Queues a message that is not an effect of the core on a connection.
+    pub fn reply(&mut self, now: Seconds, link: u64, bytes: Vec<u8>) {
         if let Some(link) = self.owners.get_mut(&link) {
             link.push(bytes, now);
         }
--- a/src/wire/hub/clock.rs
+++ b/src/wire/hub/clock.rs
@@ -3,12 +3,13 @@
 use crate::placer::Seconds;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A span of time; none where it is past, the longest where no clock can tell it.
-pub fn seconds(span: Seconds) -> Duration {
+/// A number of seconds as a `Duration`: zero where it is negative, the longest duration where it is out of
+/// range.
+pub fn to_duration(span: Seconds) -> Duration {
     Duration::try_from_secs_f64(span.max(0.0)).unwrap_or(Duration::MAX)
 }
 
-/// Seconds. A wall clock that is off by more has stepped.
+/// Seconds. A wall clock that deviates by more from the steady clock has stepped.
 const STEP_S: Seconds = 0.25;
 
 /// The system's wall clock, in seconds since 1970.
@@ -16,15 +17,17 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
 }
 
-/// The Unix clock, made steady: it starts from the system's and never goes back.
+/// A monotonic clock in Unix time: it starts at the time of the system's wall clock and does not follow its
+/// steps.
 pub struct Clock {
-    unix: Seconds,
-    since: Instant,
+    started_at: Seconds,
+    started: Instant,
 }
 
 impl Clock {
+    /// A clock that starts at the wall-clock time.
     pub fn new() -> Self {
-        Clock { unix: wall_clock(), since: Instant::now() }
+        Clock { started_at: wall_clock(), started: Instant::now() }
     }
 
     /// Whether the system's wall clock has stepped since the program started.
@@ -32,7 +35,8 @@
         (wall_clock() - self.now()).abs() > STEP_S
     }
 
+    /// The time, in seconds since 1970.
     pub fn now(&self) -> Seconds {
-        self.unix + self.since.elapsed().as_secs_f64()
+        self.started_at + self.started.elapsed().as_secs_f64()
     }
 }
--- a/src/wire/hub/counts.rs
+++ b/src/wire/hub/counts.rs
@@ -1,14 +1,15 @@
-//! Counts of what is rare and worth a look after an incident; they are logged when the planner reloads or stops.
+//! Counts of rare events for the analysis of incidents; they are logged when the planner reloads or stops.
 
-/// What befell attempts and their connections since the planner started.
+/// Rare events of attempts and their connections since the planner started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Attempts that were given up and of which a copy may have run on: their requests were not sent again.
+    /// Attempts that were abandoned although the task may still run on the machine: their requests were not
+    /// retried.
     pub unheard_attempts: u64,
-    /// Connections to machines that this planner ended without a sign that the machine did, too.
+    /// Connections to machines that this planner closed without proof that the machine closed them, too.
     pub unproved_ends: u64,
-    /// Set-ups held back until their client was heard.
+    /// Set-ups held back until everything their client had sent was read.
     pub held_set_ups: u64,
-    /// Requests that were answered because the planner stops.
+    /// Requests that were answered early because the planner stops.
     pub cut_short: u64,
 }
--- a/src/wire/hub/datagrams.rs
+++ b/src/wire/hub/datagrams.rs
@@ -1,18 +1,18 @@
-//! Datagrams between planners, counted.
+//! Counts of the datagrams between planners.
 
-/// What came and went, and what was dropped.
+/// Datagrams received, sent and dropped since the planner started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Datagrams heard, and their bytes.
+    /// Datagrams received, and their bytes.
     pub heard: (u64, u64),
     /// Datagrams sent, and their bytes.
     pub sent: (u64, u64),
-    /// From an address that is not in the list, or not that of the planner that they name.
+    /// Dropped: from an address that is not in the member list, or not that of the planner that they name.
     pub unlisted: u64,
-    /// Of another fleet, list or terms, or spoilt.
+    /// Dropped: from another fleet, with another member list or other terms, or corrupt.
     pub other: u64,
-    /// Of another version.
+    /// Dropped: of another version of the protocol.
     pub version: u64,
-    /// Cannot be read.
+    /// Dropped: cannot be decoded.
     pub unreadable: u64,
 }
--- a/src/wire/hub/machine_connections.rs
+++ b/src/wire/hub/machine_connections.rs
@@ -1,4 +1,5 @@
-//! The hub's side of the connections to machines: what waits to be written to each, and the places they take.
+//! The hub's side of the connections to machines: the queue of each link, and the limited places for
+//! connections.
 
 use super::Inner;
 use crate::decide::links::Need;
@@ -11,148 +12,159 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// A machine's connection, as seen from the hub.
-pub struct NodeLink {
-    /// Tells it from an earlier one to the same machine, whose task may not have ended yet.
-    pub life: u64,
+/// The link to a listed machine, as seen from the hub; its connection may be down.
+pub struct MachineLink {
+    /// Distinguishes the link from an earlier one to the same machine, whose task may not have ended yet.
+    pub link_id: u64,
     pub address: String,
     pub outbox: Outbox,
+    /// Wakes the task of the link: something is to be written, or the connection is to be closed.
     pub wake: Arc<Notify>,
-    /// Something began for which the connection is looked at. Unlike `wake` it tells of no use of the connection.
-    pub look: Arc<Notify>,
-    /// Since when a test is out.
+    /// Wakes the task of the link because its next periodic check may be due earlier. Unlike `wake`, it does
+    /// not count as a use of the connection.
+    pub check_wake: Arc<Notify>,
+    /// When the health check was sent that is unanswered, if any.
     pub probe: Option<Seconds>,
+    /// The number of the last health check.
     pub(super) probes: u64,
 }
 
-/// The connection of a machine that left the list.
-pub struct Leaving {
+/// The link of a machine that left the list.
+pub struct DepartedLink {
     pub departure: DepartureId,
-    /// What was to be written to it still.
+    /// What is still queued for it.
     pub outbox: Outbox,
 }
 
-/// Whether nothing is open on the connection to a box, not even a probe.
-fn is_idle(nodes: &BTreeMap<MachineId, NodeLink>, core: &Core, machine: MachineId) -> bool {
-    let free = nodes.get(&machine).is_some_and(|l| l.outbox.is_empty() && l.probe.is_none());
+/// Whether nothing is queued or open on the connection to a machine, probes included.
+fn is_idle(machine_links: &BTreeMap<MachineId, MachineLink>, core: &Core, machine: MachineId) -> bool {
+    let free = machine_links.get(&machine).is_some_and(|l| l.outbox.is_empty() && l.probe.is_none());
     free && !core.is_open_at(machine)
 }
 
 impl Inner {
+    /// Creates the link to a listed machine and has its task started, or updates its address.
     pub(super) fn connect(&mut self, machine: MachineId, address: String) {
-        if let Some(link) = self.nodes.get_mut(&machine) {
+        if let Some(link) = self.machine_links.get_mut(&machine) {
             link.address = address;
             return link.wake.notify_one();
         }
-        let life = self.next_link;
-        self.next_link += 1;
-        let link = NodeLink {
-            life,
+        let link_id = self.next_link_id;
+        self.next_link_id += 1;
+        let link = MachineLink {
+            link_id,
             address,
             outbox: Outbox::new(self.bounds.box_queue),
             wake: Arc::new(Notify::new()),
-            look: Arc::new(Notify::new()),
+            check_wake: Arc::new(Notify::new()),
             probe: None,
             probes: 0,
         };
-        self.nodes.insert(machine, link);
-        // The receiver lives as long as the program; once it is gone no connection is wanted.
-        let _ = self.connects.send((machine, life));
+        self.machine_links.insert(machine, link);
+        // The receiver exists as long as the program runs; afterwards no connection is needed.
+        let _ = self.connect_requests.send((machine, link_id));
     }
 
-    /// Has the task of a machine that left the list end its connection.
+    /// Has the link task of a machine that left the list close its connection.
     pub(super) fn disconnect(&mut self, now: Seconds, machine: MachineId, departure: DepartureId) {
-        self.silent.remove(&machine);
-        self.yield_place(now, machine);
-        let Some(link) = self.nodes.remove(&machine) else { return };
-        self.leaving.insert(link.life, Leaving { departure, outbox: link.outbox });
+        self.unreachable.remove(&machine);
+        self.release_place(now, machine);
+        let Some(link) = self.machine_links.remove(&machine) else { return };
+        self.departed_links.insert(link.link_id, DepartedLink { departure, outbox: link.outbox });
         link.wake.notify_one();
     }
 
-    /// Writes what a machine that left the list is to hear still; false where the machine of that life has not left.
-    pub fn write_last(&mut self, life: u64, sink: &impl Sink) -> bool {
-        let Some(leaving) = self.leaving.get_mut(&life) else { return false };
-        if let Err(error) = leaving.outbox.write_last(sink) {
-            tracing::debug!(%error, "a machine that left does not hear its last words");
+    /// Writes what is still queued for a machine that left the list; false where the machine of that link is
+    /// still listed.
+    pub fn write_final(&mut self, link_id: u64, sink: &impl Sink) -> bool {
+        let Some(departed) = self.departed_links.get_mut(&link_id) else { return false };
+        if let Err(error) = departed.outbox.write_final(sink) {
+            tracing::debug!(%error, "last messages to a machine that left the list could not be written");
         }
         true
     }
 
-    /// What is to be done about the connection of that life, where its machine left the list; told once.
-    pub fn take_leaving(&mut self, life: u64) -> Option<Leaving> {
-        self.leaving.remove(&life)
+    /// Removes and returns the record of a link whose machine left the list, if there is one.
+    pub fn take_departed(&mut self, link_id: u64) -> Option<DepartedLink> {
+        self.departed_links.remove(&link_id)
     }
 
-    /// Takes a place for the connection to a box, or has it wait for one; the box's task is woken once it has it.
+    /// Takes a place for the connection to a machine, or queues for one; the link task is woken once it has
+    /// the place.
     pub fn want_place(&mut self, now: Seconds, machine: MachineId, need: Need) -> bool {
         let was_short = self.places.is_short();
         let had = self.places.want(now, machine, need);
         if !was_short && self.places.is_short() {
-            self.look_for_places();
+            self.wake_place_holders();
         }
         if !had {
-            self.press(now);
+            self.reclaim_places(now);
         }
         had
     }
 
-    /// Has all connections look for places as long as a machine waits for one: one that is of no use later is given
-    /// back then.
-    fn look_for_places(&self) {
+    /// Wakes all links that hold a place, so that they check periodically, for as long as a machine waits for
+    /// a place, whether a connection has become idle and can be given back.
+    fn wake_place_holders(&self) {
         let held = |machine: &MachineId| self.places.is_held(*machine);
-        self.nodes.iter().filter(|(machine, _)| held(machine)).for_each(|(_, link)| link.look.notify_one());
+        self.machine_links
+            .iter()
+            .filter(|(machine, _)| held(machine))
+            .for_each(|(_, link)| link.check_wake.notify_one());
     }
 
-    /// Has a machine's connection plan its next look anew.
-    pub(super) fn look_anew(&self, machine: MachineId) {
-        if let Some(link) = self.nodes.get(&machine) {
-            link.look.notify_one();
+    /// Has a machine's link reschedule its next periodic check.
+    pub(super) fn reschedule_check(&self, machine: MachineId) {
+        if let Some(link) = self.machine_links.get(&machine) {
+            link.check_wake.notify_one();
         }
     }
 
-    /// What of a connection the hub knows that may call for a look.
+    /// The state of a connection that its periodic check depends on.
     pub fn open_on(&self, machine: MachineId, half_line_since: Option<Seconds>) -> Open {
         Open {
-            test_since: self.nodes.get(&machine).and_then(|l| l.probe),
+            test_since: self.machine_links.get(&machine).and_then(|l| l.probe),
             half_line_since,
             holds_tasks: self.core.standing_at(machine) > 0,
             is_short: self.places.is_short(),
         }
     }
 
-    /// Has connections of least use given back, as long as others wait for their places.
-    pub fn press(&mut self, now: Seconds) {
-        let Inner { places, nodes, core, .. } = self;
-        while let Some(machine) = places.give_back(now, |machine| is_idle(nodes, core, machine)) {
-            if let Some(link) = nodes.get(&machine) {
+    /// Asks the least recently used idle connections to give back their places, as many as machines wait for
+    /// one.
+    pub fn reclaim_places(&mut self, now: Seconds) {
+        let Inner { places, machine_links, core, .. } = self;
+        while let Some(machine) = places.give_back(now, |machine| is_idle(machine_links, core, machine)) {
+            if let Some(link) = machine_links.get(&machine) {
                 link.wake.notify_one();
             }
         }
     }
 
-    /// Whether the connection to a box is to be given back now; where something was opened on it meanwhile, another is.
-    pub fn is_asked_back(&mut self, now: Seconds, machine: MachineId) -> bool {
+    /// Whether the connection to a machine is to give back its place now. Where something has been opened on
+    /// it in the meantime, it keeps the place and another connection is asked.
+    pub fn must_give_back(&mut self, now: Seconds, machine: MachineId) -> bool {
         if !self.places.is_asked(machine) {
             return false;
         }
-        if is_idle(&self.nodes, &self.core, machine) {
+        if is_idle(&self.machine_links, &self.core, machine) {
             return true;
         }
         self.places.keep(machine);
-        self.press(now);
+        self.reclaim_places(now);
         false
     }
 
-    /// The connection to a box is closed; its place goes to the next that waits.
-    pub fn yield_place(&mut self, now: Seconds, machine: MachineId) {
-        if let Some(next) = self.places.release(now, machine).and_then(|next| self.nodes.get(&next)) {
+    /// Releases the place of a closed connection; it goes to the next machine in the queue.
+    pub fn release_place(&mut self, now: Seconds, machine: MachineId) {
+        if let Some(next) = self.places.release(now, machine).and_then(|next| self.machine_links.get(&next)) {
             next.wake.notify_one();
         }
     }
 
-    /// What a connection to a box is wanted for.
+    /// What a connection to a machine is needed for.
     pub fn need(&self, machine: MachineId) -> Need {
-        if self.nodes.get(&machine).is_some_and(|l| !l.outbox.is_empty()) {
+        if self.machine_links.get(&machine).is_some_and(|l| !l.outbox.is_empty()) {
             Need::Now
         } else if self.core.standing_at(machine) > 0 {
             Need::Visit
@@ -161,32 +173,35 @@
         }
     }
 
-    /// Whether closing the connection to a box would lose something: an attempt is open on it, or a message is not yet
-    /// written whole.
+    /// Whether closing the connection to a machine would lose something: an attempt is open on it, or a
+    /// message is not completely written.
     pub fn is_open_at(&self, machine: MachineId) -> bool {
-        self.nodes.get(&machine).is_some_and(|l| !l.outbox.is_empty()) || self.core.is_open_at(machine)
+        self.machine_links.get(&machine).is_some_and(|l| !l.outbox.is_empty())
+            || self.core.is_open_at(machine)
     }
 
-    /// Writes a box a word that is free and means nothing: where its process is gone, its host resets the connection.
-    pub fn nudge_node(&mut self, machine: MachineId) {
+    /// Writes a message that the machine ignores: where its process is gone, the host answers with a reset.
+    pub fn nudge_machine(&mut self, machine: MachineId) {
         if let Some(job) = self.core.one_at(machine) {
-            self.write_node(machine, node::progress(job), Tag::Plain);
+            self.write_to_machine(machine, node::progress(job), Tag::Plain);
         }
     }
 
+    /// Queues a set-up for a machine; drops it where the queue is full.
     pub(super) fn write_set_up(&mut self, now: Seconds, machine: MachineId, set_up: SetUp) {
-        let Some(link) = self.nodes.get_mut(&machine) else { return };
+        let Some(link) = self.machine_links.get_mut(&machine) else { return };
         if !link.outbox.push_set_up(now, set_up) {
-            // Its time-out ends it; a machine this far behind is of no use.
-            tracing::debug!(machine = machine.0, "a machine does not read; a set-up for it is dropped");
+            // The attempt ends by its time-out; a machine that is this far behind could not run it anyway.
+            tracing::debug!(machine = machine.0, "queue to a machine is full; set-up dropped");
         }
         link.wake.notify_one();
     }
 
-    pub(super) fn write_node(&mut self, machine: MachineId, bytes: Vec<u8>, tag: Tag) {
-        let Some(link) = self.nodes.get_mut(&machine) else { return };
+    /// Queues a message for a machine; drops it where the queue is full.
+    pub(super) fn write_to_machine(&mut self, machine: MachineId, bytes: Vec<u8>, tag: Tag) {
+        let Some(link) = self.machine_links.get_mut(&machine) else { return };
         if !link.outbox.push(bytes, tag) {
-            tracing::debug!(machine = machine.0, "a box does not read; a message to it is dropped");
+            tracing::debug!(machine = machine.0, "queue to a machine is full; message dropped");
         }
         link.wake.notify_one();
     }
--- a/src/wire/hub/machine_connections/tests.rs
+++ b/src/wire/hub/machine_connections/tests.rs
@@ -1,4 +1,5 @@
-//! What wakes a machine's connection for a look: each thing that a look may find, when it begins, and nothing else.
+//! A machine's link is woken for its periodic check when a condition that the check observes begins, and at
+//! no other time.
 
 use super::*;
 use crate::placer::*;
@@ -7,7 +8,7 @@
 use crate::wire::hub::{Bounds, Hub};
 use std::sync::Arc;
 
-/// A hub with machines at so many places, each with a connection that is wanted.
+/// A hub with so many listed machines, and so many places for their connections.
 fn hub(machines: u32, places: usize) -> Arc<Hub> {
     let bounds = Bounds { owners: 9, owner_queue: 4096, box_queue: 4096, links: places };
     let (hub, _wanted) = Hub::new(core("repeatable"), bounds, Arc::default());
@@ -25,7 +26,7 @@
     hub
 }
 
-/// A task for the class of the tests' settings.
+/// A job of the class in the tests' settings.
 fn ask(hub: &Hub, job: u64) -> Ask {
     let room = Room { cores: 1.0, memory: 1.0 };
     let (service, deadline, limits) = (ServiceId(1), hub.now() + 5.0, TaskLimits::default());
@@ -34,7 +35,7 @@
     Ask { job: RequestId(job), owner: Owner::Link(1), spec, task }
 }
 
-/// Whether a task would be woken; it is woken once by that.
+/// Whether a task is notified; this takes the notification.
 async fn is_woken(notify: &Notify) -> bool {
     tokio::select! {
         biased;
@@ -43,14 +44,14 @@
     }
 }
 
-/// Whether a connection is woken to write, and whether for a look alone.
+/// Whether a link is woken to write, and whether for a periodic check only.
 async fn wakes(hub: &Hub, machine: MachineId) -> (bool, bool) {
-    let (write, look) = {
+    let (write, check_wake) = {
         let inner = hub.lock();
-        let link = &inner.nodes[&machine];
-        (link.wake.clone(), link.look.clone())
+        let link = &inner.machine_links[&machine];
+        (link.wake.clone(), link.check_wake.clone())
     };
-    (is_woken(&write).await, is_woken(&look).await)
+    (is_woken(&write).await, is_woken(&check_wake).await)
 }
 
 const NOTHING: (bool, bool) = (false, false);
@@ -72,7 +73,7 @@
     assert_eq!((wakes(&hub, MachineId(0)).await, wakes(&hub, MachineId(1)).await), (TO_WRITE, NOTHING));
 }
 
-/// A task may be said to stand by its client, on another connection than its machine's.
+/// A client reports a running task, so the report arrives on another connection than the machine's.
 #[tokio::test]
 async fn the_first_task_that_is_taken_over_wakes_its_machines_connection() {
     let hub = hub(2, 2);
@@ -93,7 +94,7 @@
     assert_eq!(wakes(&hub, machine).await, FOR_A_LOOK, "the first again");
 }
 
-/// A machine may say so on a connection whose place another took.
+/// The machine may report the start of a task on a connection that has been replaced.
 #[tokio::test]
 async fn the_first_task_that_is_placed_wakes_its_machines_connection() {
     let hub = hub(1, 1);
@@ -108,14 +109,15 @@
     assert_eq!(wakes(&hub, machine).await, FOR_A_LOOK);
 }
 
-/// The one that is of no use yet may be so later: all that hold a place look for that, and none counts as used by it.
+/// A connection that is in use may become idle later, so all links with a place start to check for that;
+/// being woken for the check does not count as a use of the connection.
 #[tokio::test]
 async fn the_first_machine_that_waits_for_a_place_wakes_all_that_hold_one() {
     let (hub, now) = (hub(4, 2), 100.0);
     let [first, second, third, fourth] = [0, 1, 2, 3].map(MachineId);
     assert!(hub.lock().want_place(now, first, Need::Spare));
     assert!(hub.lock().want_place(now, second, Need::Spare));
-    assert!(!hub.lock().want_place(now, third, Need::Spare), "nobody waits for what is of no use");
+    assert!(!hub.lock().want_place(now, third, Need::Spare), "an unneeded connection does not queue");
     assert_eq!(wakes(&hub, first).await, NOTHING);
     for woken in [FOR_A_LOOK, NOTHING] {
         assert!(!hub.lock().want_place(now, third, Need::Now));
--- a/src/wire/hub/tests.rs
+++ b/src/wire/hub/tests.rs
@@ -8,14 +8,14 @@
         .0
 }
 
-fn open(inner: &mut Inner, now: Seconds) -> Option<u64> {
+fn open_owner_connection(inner: &mut Inner, now: Seconds) -> Option<u64> {
     inner.open_owner(now, IpAddr::from([127, 0, 0, 1])).map(|(id, _)| id)
 }
 
-/// Takes some bytes, then is reset.
-struct Breaks(std::cell::Cell<usize>);
+/// A sink that takes so many bytes, then fails with a reset.
+struct FailingSink(std::cell::Cell<usize>);
 
-impl Sink for Breaks {
+impl Sink for FailingSink {
     fn try_write_vectored(&self, slices: &[io::IoSlice<'_>]) -> io::Result<usize> {
         let all: usize = slices.iter().map(|s| s.len()).sum();
         match self.0.replace(0).min(all) {
@@ -25,8 +25,8 @@
     }
 }
 
-/// A hub with a machine and a job that is queued for it; the job's owner waits so long.
-fn offered(effect: &str, patience_s: Seconds) -> (Arc<Hub>, MachineId, u64) {
+/// A hub with a machine and a job whose set-up is queued for it; the job's deadline is `patience_s` away.
+fn hub_with_queued_job(effect: &str, patience_s: Seconds) -> (Arc<Hub>, MachineId, u64) {
     let (hub, _wanted) = Hub::new(
         core(effect),
         Bounds { owners: 9, owner_queue: 4096, box_queue: 4096, links: 9 },
@@ -45,7 +45,7 @@
     };
     let notice = Notice { entry, address: "a:1".into() };
     hub.apply(Input::List { kind: ListKind::Changes, notices: vec![notice] });
-    let owner = open(&mut hub.lock(), 100.0).expect("a place");
+    let owner = open_owner_connection(&mut hub.lock(), 100.0).expect("a place");
     let room = Room { cores: 1.0, memory: 1.0 };
     let (class, service, deadline) = (0, ServiceId(1), hub.now() + patience_s);
     let limits = TaskLimits::default();
@@ -55,57 +55,57 @@
     (hub, name, owner)
 }
 
-/// Guards rule 2: a set-up that left, whole or in part, before its connection broke in the same go may have run;
-/// work that runs once is failed then, and not sent again.
+/// Guards rule 2: a set-up that was written, completely or in part, before its connection broke during the
+/// same write may have run. A task that must run at most once fails then, and is not retried.
 #[test]
 fn what_left_before_an_error_may_have_run() {
     for taken in [0, 10, 1 << 20] {
-        let (hub, name, owner) = offered("once", 5.0);
-        let life = hub.lock().nodes[&name].life;
-        let broke = hub.write_out((name, life, "a:1"), &Breaks(taken.into()), &mut Vec::new());
-        // What is written whole brings no error until more is written.
+        let (hub, name, owner) = hub_with_queued_job("once", 5.0);
+        let link_id = hub.lock().machine_links[&name].link_id;
+        let broke = hub.flush_to_machine((name, link_id, "a:1"), &FailingSink(taken.into()), &mut Vec::new());
+        // After a complete write the error shows only at the next write.
         assert_eq!(broke.is_err(), taken < 1 << 20);
-        hub.lock().nodes.get_mut(&name).expect("a link").outbox.reset();
+        hub.lock().machine_links.get_mut(&name).expect("a link").outbox.reset();
         hub.apply(Input::LinkBroken { machine: name, proved: true });
-        let waits = !hub.lock().nodes[&name].outbox.is_empty();
+        let waits = !hub.lock().machine_links[&name].outbox.is_empty();
         let answered = !hub.lock().owners[&owner].outbox.is_empty();
         assert_eq!((waits, answered), (taken == 0, taken > 0), "{taken} bytes left");
     }
 }
 
-/// Guards machines and shares of the fleet against a planner that was stopped between deciding and writing: what is
-/// past its time by then does not leave, though no alarm has rung yet.
+/// Guards machines and the fleet's budgets against a process that was suspended between decision and write: a
+/// set-up past its deadline is not written, although its alarm has not run yet.
 #[test]
 fn what_is_past_its_time_is_not_written() {
-    let (hub, name, owner) = offered("repeatable", 0.1);
-    let life = hub.lock().nodes[&name].life;
-    assert!(!hub.lock().nodes[&name].outbox.is_empty(), "it is queued");
+    let (hub, name, owner) = hub_with_queued_job("repeatable", 0.1);
+    let link_id = hub.lock().machine_links[&name].link_id;
+    assert!(!hub.lock().machine_links[&name].outbox.is_empty(), "it is queued");
     std::thread::sleep(Duration::from_millis(150));
-    let takes_nothing = Breaks(0.into());
-    let waits = hub.write_out((name, life, "a:1"), &takes_nothing, &mut Vec::new());
+    let failing_sink = FailingSink(0.into());
+    let waits = hub.flush_to_machine((name, link_id, "a:1"), &failing_sink, &mut Vec::new());
     assert_eq!(waits.expect("nothing is written"), Some(Written::All));
     assert!(!hub.lock().owners[&owner].outbox.is_empty(), "its owner is answered");
 }
 
-/// Guards ends of what stood against a connection that ends before they are written on it: they go to another of
-/// the same owner, or to the next one that is opened.
+/// Guards ends of running tasks against a connection that closes before they are written: they go to another
+/// connection of the same owner, or to the next one that is opened.
 #[test]
 fn an_end_that_was_not_written_goes_elsewhere() {
     for other in [true, false] {
         let hub = hub(9);
         let mut inner = hub.lock();
-        let first = open(&mut inner, 100.0).expect("a place");
-        inner.say(100.0, first, vec![1]);
-        inner.write_owner(100.0, Owner::Link(first), vec![2], true);
-        let second = other.then(|| open(&mut inner, 100.0).expect("a place"));
+        let first = open_owner_connection(&mut inner, 100.0).expect("a place");
+        inner.reply(100.0, first, vec![1]);
+        inner.write_to_owner(100.0, Owner::Link(first), vec![2], true);
+        let second = other.then(|| open_owner_connection(&mut inner, 100.0).expect("a place"));
         inner.close_owner(100.1, first);
-        let second = second.or_else(|| open(&mut inner, 100.2)).expect("a place");
-        assert_eq!(inner.owners.get_mut(&second).expect("a link").outbox.take_due(), [vec![2]]);
+        let second = second.or_else(|| open_owner_connection(&mut inner, 100.2)).expect("a place");
+        assert_eq!(inner.owners.get_mut(&second).expect("a link").outbox.take_reroutable(), [vec![2]]);
     }
 }
 
-/// Guards a request that has come but was not read yet: its connection, though nothing is open on it, is neither
-/// closed as useless nor given away.
+/// Guards a request that has arrived but is not read yet: its connection is not closed to make room for
+/// another, although no job is open on it.
 #[tokio::test]
 async fn what_came_unread_keeps_its_connection() {
     let hub = hub(1);
@@ -114,53 +114,53 @@
     let (stream, _) = listener.accept().await.expect("a connection");
     let stream = Arc::new(stream);
     let mut inner = hub.lock();
-    let first = open(&mut inner, 100.0).expect("a place");
+    let first = open_owner_connection(&mut inner, 100.0).expect("a place");
     inner.owners.get_mut(&first).expect("a link").stream = Some(stream.clone());
-    assert!(!is_unread(&stream));
+    assert!(!has_unread_bytes(&stream));
     io::Write::write_all(&mut client, &[0]).expect("written");
-    while !is_unread(&stream) {
+    while !has_unread_bytes(&stream) {
         std::thread::yield_now();
     }
-    assert_eq!(open(&mut inner, 100.1), None);
+    assert_eq!(open_owner_connection(&mut inner, 100.1), None);
     assert!(inner.owners.contains_key(&first));
 }
 
-/// Guards descriptors against owners that stay for good: silent, idle, or without reading what they are sent.
+/// Guards descriptors against owners that stay connected but are silent, idle, or do not read their answers.
 #[test]
 fn a_connection_of_no_use_is_told_apart() {
     let hub = hub(9);
     let mut inner = hub.lock();
-    let ids: Vec<u64> = (0..3).filter_map(|_| open(&mut inner, 100.0)).collect();
+    let ids: Vec<u64> = (0..3).filter_map(|_| open_owner_connection(&mut inner, 100.0)).collect();
     let [silent, idle, unread] = ids[..] else { panic!("three places") };
-    inner.say(100.0, idle, vec![]);
+    inner.reply(100.0, idle, vec![]);
     inner.owners.get_mut(&idle).expect("a link").outbox.reset();
-    inner.say(100.0, unread, vec![0]);
-    let useless = |now| [silent, idle, unread].map(|id| inner.useless(now, id).is_some());
-    assert_eq!(useless(101.9), [false, false, false]);
-    assert_eq!(useless(102.1), [true, false, false]);
-    assert_eq!(useless(105.1), [true, false, true]);
-    assert_eq!(useless(108.1), [true, true, true]);
+    inner.reply(100.0, unread, vec![0]);
+    let close_reason = |now| [silent, idle, unread].map(|id| inner.close_reason(now, id).is_some());
+    assert_eq!(close_reason(101.9), [false, false, false]);
+    assert_eq!(close_reason(102.1), [true, false, false]);
+    assert_eq!(close_reason(105.1), [true, false, true]);
+    assert_eq!(close_reason(108.1), [true, true, true]);
 }
 
-/// Guards owners with something open: where every place is taken, theirs is not given away.
+/// Guards connections with open answers: at the limit of connections they are not closed to make room.
 #[test]
 fn only_what_is_of_no_use_makes_room() {
     let hub = hub(2);
     let mut inner = hub.lock();
-    let first = open(&mut inner, 100.0).expect("a place");
-    inner.say(100.0, first, vec![0]);
-    let second = open(&mut inner, 100.0).expect("a place");
-    assert!(open(&mut inner, 100.0).is_some(), "the silent one makes room");
+    let first = open_owner_connection(&mut inner, 100.0).expect("a place");
+    inner.reply(100.0, first, vec![0]);
+    let second = open_owner_connection(&mut inner, 100.0).expect("a place");
+    assert!(open_owner_connection(&mut inner, 100.0).is_some(), "the silent one makes room");
     assert!(inner.owners.contains_key(&first) && !inner.owners.contains_key(&second));
     inner.owners.values_mut().for_each(|link| link.push(vec![0], 100.0));
-    assert_eq!(open(&mut inner, 100.0), None);
+    assert_eq!(open_owner_connection(&mut inner, 100.0), None);
 }
 
-/// Takes all that it is given.
+/// A sink that takes everything.
 #[derive(Default)]
-struct Takes(std::cell::RefCell<Vec<u8>>);
+struct RecordingSink(std::cell::RefCell<Vec<u8>>);
 
-impl Sink for Takes {
+impl Sink for RecordingSink {
     fn try_write_vectored(&self, slices: &[io::IoSlice<'_>]) -> io::Result<usize> {
         let mut taken = self.0.borrow_mut();
         let before = taken.len();
@@ -169,23 +169,25 @@
     }
 }
 
-/// Guards servers against a deadline that its client no longer has: a set-up that waited tells what is left as it leaves.
+/// Guards machines against an outdated deadline: a set-up that was queued states the time that is left when
+/// it is written.
 #[test]
 fn a_set_up_that_waited_tells_what_is_left_of_its_time() {
-    let (hub, name, _) = offered("repeatable", 1.0);
-    let life = hub.lock().nodes[&name].life;
+    let (hub, name, _) = hub_with_queued_job("repeatable", 1.0);
+    let link_id = hub.lock().machine_links[&name].link_id;
     std::thread::sleep(Duration::from_millis(250));
-    let machine = Takes::default();
-    hub.write_out((name, life, "a:1"), &machine, &mut Vec::new()).expect("it is written");
+    let machine = RecordingSink::default();
+    hub.flush_to_machine((name, link_id, "a:1"), &machine, &mut Vec::new()).expect("it is written");
     let line: serde_json::Value = serde_json::from_slice(&machine.0.borrow()).expect("a set-up");
     let left_ms: u64 = line["meta"]["left"].as_str().expect("a time").parse().expect("a number");
     assert!((1..=750).contains(&left_ms), "{left_ms} ms left of 1000 after 250");
 }
 
-/// Guards clients that have left: their end has come, and no attempt begins before it is read.
+/// Guards against work for a client that has closed its connection: no attempt begins while the close is
+/// unread.
 #[tokio::test]
 async fn no_attempt_leaves_for_a_client_whose_end_has_come_unread() {
-    let (hub, name, owner) = offered("repeatable", 5.0);
+    let (hub, name, owner) = hub_with_queued_job("repeatable", 5.0);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = std::net::TcpStream::connect(listener.local_addr().expect("its address")).expect("up");
     let (stream, _) = listener.accept().await.expect("a connection");
@@ -197,47 +199,49 @@
     while !has_ended() {
         std::thread::yield_now();
     }
-    // Longer than what was read a moment ago may count as heard.
+    // Longer than a connection counts as read after its last read.
     std::thread::sleep(Duration::from_millis(100));
-    let life = hub.lock().nodes[&name].life;
-    let machine = Takes::default();
-    hub.write_out((name, life, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
+    let link_id = hub.lock().machine_links[&name].link_id;
+    let machine = RecordingSink::default();
+    hub.flush_to_machine((name, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
     assert!(machine.0.borrow().is_empty(), "an attempt began");
     hub.apply(Input::OwnerGone { link: owner });
-    hub.write_out((name, life, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
-    assert!(machine.0.borrow().is_empty(), "an attempt began after its client's end was heard");
+    hub.flush_to_machine((name, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
+    assert!(machine.0.borrow().is_empty(), "an attempt began after its client's close was processed");
 }
 
-/// Guards a request that has begun to come while its planner stops: the rest of it is waited for, though not for long.
+/// Guards a request that is arriving while its planner stops: the planner waits for the rest of it, for a
+/// limited time.
 #[test]
 fn a_planner_that_has_half_a_request_is_not_quiet() {
     let hub = hub(9);
     let mut inner = hub.lock();
-    let client = open(&mut inner, 100.0).expect("a place");
+    let client = open_owner_connection(&mut inner, 100.0).expect("a place");
     assert!(inner.is_quiet(100.0));
-    inner.owners.get_mut(&client).expect("a link").half_at = Some(100.0);
+    inner.owners.get_mut(&client).expect("a link").partial_at = Some(100.0);
     assert!(!inner.is_quiet(100.09));
     assert!(inner.is_quiet(100.2));
 }
 
-/// Guards servers against a request that lay unread while its planner was at work: its time counts from when it may have come,
-/// and never from before its connection was read to the end.
+/// Guards machines against a late request that was unread while its planner was busy: its time counts from
+/// its earliest possible arrival, which is never before the connection was last read to the end.
 #[test]
 fn a_request_that_lay_unread_counts_from_when_it_may_have_come() {
     let hub = hub(9);
     let mut inner = hub.lock();
-    let client = open(&mut inner, hub.now()).expect("a place");
-    let link =
-        |inner: &mut Inner, heard_at| inner.owners.get_mut(&client).expect("a link").heard_at = heard_at;
+    let client = open_owner_connection(&mut inner, hub.now()).expect("a place");
+    let link = |inner: &mut Inner, drained_at| {
+        inner.owners.get_mut(&client).expect("a link").drained_at = drained_at
+    };
     link(&mut inner, 0.0);
-    assert!(hub.now() - hub.came_at(&inner, client) < 0.1, "no turn is known");
+    assert!(hub.now() - hub.earliest_arrival(&inner, client) < 0.1, "no turn is known");
     hub.turns.unpark();
     hub.turns.park();
     hub.turns.unpark();
     std::thread::sleep(Duration::from_millis(120));
-    let age = hub.now() - hub.came_at(&inner, client);
+    let age = hub.now() - hub.earliest_arrival(&inner, client);
     assert!(age >= 0.12, "it counts from {age} s ago");
     let now = hub.now();
     link(&mut inner, now);
-    assert!(hub.came_at(&inner, client) >= now);
+    assert!(hub.earliest_arrival(&inner, client) >= now);
 }
--- a/src/wire/hub/turns.rs
+++ b/src/wire/hub/turns.rs
@@ -1,24 +1,25 @@
-//! The turns of the runtime's thread: it waits for what comes, wakes, and works until it waits again. What it reads in a turn
-//! may have lain unread since the turn before began, where that one left it no time to wait.
+//! The turns of the runtime's thread. In a turn the thread wakes, handles events, and parks until the next
+//! event. Bytes that it reads in a turn may have arrived when the previous turn began, if the thread did not
+//! really wait in between.
 
 use crate::placer::Seconds;
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// Seconds. A wait that is shorter found something that had come before it.
-const WAITED_S: Seconds = 0.0005;
+/// Seconds. A shorter wait ended because of an event that had occurred before it.
+const MIN_WAIT_S: Seconds = 0.0005;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Turn {
-    /// When the thread went to wait last.
+    /// When the thread last parked.
     parked_at: Seconds,
     /// When the turn began.
     began_at: Seconds,
-    /// Since when what is read in it may have lain unread.
+    /// The earliest time at which bytes that are read in the turn can have arrived.
     unread_since: Option<Seconds>,
 }
 
-/// The turns of one thread, on a clock of their own.
+/// The turns of one thread, timed by a clock of their own.
 #[derive(Debug)]
 pub struct Turns {
     start: Instant,
@@ -32,17 +33,17 @@
 }
 
 impl Turns {
-    /// The thread goes to wait.
+    /// Records that the thread parks.
     pub fn park(&self) {
         self.park_at(self.now());
     }
 
-    /// The thread wakes.
+    /// Records that the thread wakes.
     pub fn unpark(&self) {
         self.unpark_at(self.now());
     }
 
-    /// For how many seconds what is read now may have lain unread; none where no turn is known.
+    /// For how many seconds bytes that are read now may have been unread; none before the first turn.
     pub fn unread_for(&self) -> Option<Seconds> {
         let since = self.turn.lock().unwrap_or_else(PoisonError::into_inner).unread_since;
         since.map(|since| self.now() - since)
@@ -58,7 +59,7 @@
 
     fn unpark_at(&self, now: Seconds) {
         let mut turn = self.turn.lock().unwrap_or_else(PoisonError::into_inner);
-        let waited = now - turn.parked_at >= WAITED_S;
+        let waited = now - turn.parked_at >= MIN_WAIT_S;
         let unread_since = if waited { now } else { turn.began_at };
         *turn = Turn { began_at: now, unread_since: Some(unread_since), ..*turn };
     }
--- a/src/wire/hub/turns/tests.rs
+++ b/src/wire/hub/turns/tests.rs
@@ -4,18 +4,18 @@
     turns.turn.lock().expect("a turn").unread_since
 }
 
-/// Guards the time that is passed on of a request that came while the planner was at work: it counts from when that work
-/// began, and one that wakes the planner counts from then.
+/// Guards the arrival time of requests: one that arrives while the planner is busy counts from the start of
+/// that turn, and one that wakes the planner counts from the wake-up.
 #[test]
 fn what_comes_during_a_turn_counts_from_its_beginning() {
     let turns = Turns::default();
     assert_eq!(unread_since(&turns), None);
     turns.park_at(10.0);
     turns.unpark_at(11.0);
-    assert_eq!(unread_since(&turns), Some(11.0), "it waited, and what came woke it");
+    assert_eq!(unread_since(&turns), Some(11.0), "the thread waited, and the request woke it");
     turns.park_at(11.4);
     turns.unpark_at(11.4001);
-    assert_eq!(unread_since(&turns), Some(11.0), "it came while the turn before went on");
+    assert_eq!(unread_since(&turns), Some(11.0), "the request arrived during the previous turn");
     turns.park_at(11.5);
     turns.unpark_at(11.5001);
     assert_eq!(unread_since(&turns), Some(11.4001));
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,6 +1,6 @@
-//! What is spoken: two fronts, the links to the machines, and the hub that joins them to the core.
+//! Input and output: the platform protocol and the REST API for clients, the links to machines and peers, and
+//! the hub that connects them to the core.
 
-pub mod arrived;
 pub mod errors;
 pub mod hub;
 pub mod import;
@@ -9,4 +9,5 @@
 pub mod platform;
 pub mod read_buffers;
 pub mod rest;
+pub mod socket_read;
 mod trail;
--- a/src/wire/outbox.rs
+++ b/src/wire/outbox.rs
@@ -1,7 +1,7 @@
-//! What waits to be written to one connection.
+//! The output queue of one connection.
 //!
-//! Messages stay here whole until the socket takes them, so that a set-up which was given up can be taken
-//! back; only the one whose first byte has left must be completed.
+//! Messages stay here until the socket takes them, so that a cancelled set-up can be withdrawn; only a
+//! message of which a byte has been written must be completed.
 
 use super::errors::is_shortage;
 use super::platform::node::SetUp;
@@ -11,9 +11,9 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Where bytes go: a socket, or one that a test makes fail.
+/// The destination of the bytes: a socket, or a test double that fails.
 pub trait Sink {
-    /// Takes what it can now.
+    /// Writes as many bytes as it can without waiting, and returns how many.
     fn try_write_vectored(&self, slices: &[IoSlice<'_>]) -> io::Result<usize>;
 }
 
@@ -23,190 +23,201 @@
     }
 }
 
-/// Wait before a write that found no buffer is tried again.
-pub const BUFFERS_AGAIN: Duration = Duration::from_millis(5);
+/// Wait before a write is retried that failed because the system had no buffer.
+pub const NO_BUFFER_RETRY: Duration = Duration::from_millis(5);
 
-/// How far a write came.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Written {
-    /// Nothing waits.
+    /// Everything was written.
     All,
-    /// The rest waits until the socket takes more.
+    /// The rest waits until the socket is writable.
     Blocked,
-    /// The system lacks buffers: the rest waits, and the socket does not tell until when.
-    Short,
+    /// The system has no buffer: the rest waits, and the socket does not signal when to retry.
+    NoBuffers,
 }
 
-/// Seconds. A set-up whose time was written down longer ago is written down anew before it leaves.
-const STALE_S: Seconds = 0.01;
-/// Count. Messages that are handed to the socket at once.
-const COALESCED: usize = 32;
+/// Seconds. A set-up that was encoded longer ago is encoded again before it is written, with the time that is
+/// left now.
+const REENCODE_AFTER_S: Seconds = 0.01;
+/// Count. Most messages that one system call writes.
+const MAX_COALESCED: usize = 32;
 
-/// What a message is to those who may take it back.
+/// How a message is treated when it is cancelled or its connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tag {
-    /// Only of use on this connection.
+    /// Dropped with the connection.
     Plain,
-    /// A set-up; it may be taken back until its first byte leaves.
+    /// A set-up: it can be withdrawn until its first byte is written.
     Launch(RequestId, AttemptNo),
-    /// Due also on the next connection, should this one break.
-    Kept,
-    /// Due on another connection of the same owner, should this one end; it stays behind what was queued before.
-    Due,
+    /// Sent on the next connection to the same machine if this one breaks, and before other messages.
+    ResendToMachine,
+    /// Sent on another connection of the same owner if this one ends; it keeps its place in the queue.
+    Reroute,
 }
 
-struct Parcel {
+/// A queued message.
+struct QueuedMessage {
     bytes: Vec<u8>,
     tag: Tag,
-    /// The set-up that it is, and when its bytes were made.
+    /// The set-up that the message carries, and when it was encoded.
     set_up: Option<(SetUp, Seconds)>,
 }
 
 /// A bounded queue of messages.
 pub struct Outbox {
-    parcels: VecDeque<Parcel>,
-    /// Bytes of the first message that have left.
+    messages: VecDeque<QueuedMessage>,
+    /// Bytes of the first message that have been written.
     written: usize,
+    /// Bytes of all queued messages.
     bytes: usize,
-    most: usize,
+    /// Bytes. The capacity of the queue.
+    max_bytes: usize,
 }
 
 impl Outbox {
-    pub fn new(most: usize) -> Self {
-        Outbox { parcels: VecDeque::new(), written: 0, bytes: 0, most }
+    /// An empty queue that holds at most so many bytes.
+    pub fn new(max_bytes: usize) -> Self {
+        Outbox { messages: VecDeque::new(), written: 0, bytes: 0, max_bytes }
     }
 
     /// Adds a message; false where the reader is so slow that the queue is full.
     #[must_use]
     pub fn push(&mut self, bytes: Vec<u8>, tag: Tag) -> bool {
-        self.push_parcel(Parcel { bytes, tag, set_up: None })
+        self.push_message(QueuedMessage { bytes, tag, set_up: None })
     }
 
     /// Adds a set-up; false where the queue is full.
     #[must_use]
     pub fn push_set_up(&mut self, now: Seconds, set_up: SetUp) -> bool {
         let (bytes, tag) = (set_up.lines(now), Tag::Launch(set_up.job, set_up.attempt));
-        self.push_parcel(Parcel { bytes, tag, set_up: Some((set_up, now)) })
+        self.push_message(QueuedMessage { bytes, tag, set_up: Some((set_up, now)) })
     }
 
-    fn push_parcel(&mut self, parcel: Parcel) -> bool {
-        if self.bytes + parcel.bytes.len() > self.most {
+    fn push_message(&mut self, message: QueuedMessage) -> bool {
+        if self.bytes + message.bytes.len() > self.max_bytes {
             return false;
         }
-        self.bytes += parcel.bytes.len();
-        let tag = parcel.tag;
-        if tag != Tag::Kept {
-            self.parcels.push_back(parcel);
+        self.bytes += message.bytes.len();
+        let tag = message.tag;
+        if tag != Tag::ResendToMachine {
+            self.messages.push_back(message);
             return true;
         }
-        // An order to cut is what its machine hears first, after what has begun to leave and after others like it.
+        // A release goes to the machine first, after a message that is partly written and after earlier
+        // releases.
         let begun = usize::from(self.written > 0);
-        let others = self.parcels.iter().skip(begun).take_while(|p| p.tag == Tag::Kept).count();
-        self.parcels.insert(begun + others, parcel);
+        let others = self.messages.iter().skip(begun).take_while(|p| p.tag == Tag::ResendToMachine).count();
+        self.messages.insert(begun + others, message);
         true
     }
 
     pub fn is_empty(&self) -> bool {
-        self.parcels.is_empty()
+        self.messages.is_empty()
     }
 
-    /// Whether a set-up waits of which nothing has left.
+    /// Whether a set-up is queued of which nothing has been written.
     pub fn has_set_up(&self) -> bool {
         self.unsent().next().is_some()
     }
 
-    /// The set-ups that wait and have not begun to leave.
+    /// The jobs of the queued set-ups of which nothing has been written.
     pub fn unsent(&self) -> impl Iterator<Item = RequestId> + '_ {
         let begun = usize::from(self.written > 0);
-        self.parcels.iter().skip(begun).filter_map(|p| p.set_up.as_ref()).map(|(set_up, _)| set_up.job)
+        self.messages.iter().skip(begun).filter_map(|p| p.set_up.as_ref()).map(|(set_up, _)| set_up.job)
     }
 
-    /// Takes a set-up out that has not begun to leave.
-    pub fn take_out(&mut self, job: RequestId) -> Option<SetUp> {
+    /// Removes and returns a set-up of which nothing has been written.
+    pub fn remove_set_up(&mut self, job: RequestId) -> Option<SetUp> {
         let begun = usize::from(self.written > 0);
-        let is_it = |p: &Parcel| p.set_up.as_ref().is_some_and(|(set_up, _)| set_up.job == job);
-        let at = self.parcels.iter().skip(begun).position(is_it)?;
-        let parcel = self.parcels.remove(begun + at)?;
-        self.bytes -= parcel.bytes.len();
-        parcel.set_up.map(|(set_up, _)| set_up)
+        let is_it = |p: &QueuedMessage| p.set_up.as_ref().is_some_and(|(set_up, _)| set_up.job == job);
+        let at = self.messages.iter().skip(begun).position(is_it)?;
+        let message = self.messages.remove(begun + at)?;
+        self.bytes -= message.bytes.len();
+        message.set_up.map(|(set_up, _)| set_up)
     }
 
-    /// Has the set-ups that wait and have not begun to leave tell what is left of their time now.
-    pub fn renew(&mut self, now: Seconds) {
+    /// Encodes unwritten set-ups again, so that they state the time that is left now.
+    pub fn reencode_set_ups(&mut self, now: Seconds) {
         let begun = usize::from(self.written > 0);
-        for parcel in self.parcels.iter_mut().skip(begun) {
-            let Some((set_up, made_at)) = &mut parcel.set_up else { continue };
-            if now - *made_at < STALE_S {
+        for message in self.messages.iter_mut().skip(begun) {
+            let Some((set_up, made_at)) = &mut message.set_up else { continue };
+            if now - *made_at < REENCODE_AFTER_S {
                 continue;
             }
             *made_at = now;
-            self.bytes -= parcel.bytes.len();
-            parcel.bytes = set_up.lines(now);
-            self.bytes += parcel.bytes.len();
+            self.bytes -= message.bytes.len();
+            message.bytes = set_up.lines(now);
+            self.bytes += message.bytes.len();
         }
     }
 
-    /// Takes a set-up back; false where its first byte has left.
-    pub fn take_back(&mut self, job: RequestId) -> bool {
-        self.take_out(job).is_some()
+    /// Withdraws a set-up; false where it is not queued or its first byte has been written.
+    pub fn withdraw(&mut self, job: RequestId) -> bool {
+        self.remove_set_up(job).is_some()
     }
 
-    /// Writes what it can of what waits, before the connection is ended; what a set-up has begun is left half.
-    pub fn write_last(&mut self, stream: &impl Sink) -> io::Result<()> {
-        let half_set_up =
-            self.written > 0 && self.parcels.front().is_some_and(|p| matches!(p.tag, Tag::Launch(..)));
-        if half_set_up {
+    /// Writes what the socket takes before the connection is closed; a set-up that is partly written is left
+    /// incomplete.
+    pub fn write_final(&mut self, stream: &impl Sink) -> io::Result<()> {
+        let partial_set_up =
+            self.written > 0 && self.messages.front().is_some_and(|p| matches!(p.tag, Tag::Launch(..)));
+        if partial_set_up {
             return Ok(());
         }
         self.write(stream, &mut Vec::new()).map(|_| ())
     }
 
-    /// After the connection ended for good: what is due elsewhere, also where only a part of it was written.
-    pub fn take_due(&mut self) -> Vec<Vec<u8>> {
+    /// Empties the queue after the connection ended for good, and returns the messages to be sent on another
+    /// connection, a partly written one included.
+    pub fn take_reroutable(&mut self) -> Vec<Vec<u8>> {
         (self.written, self.bytes) = (0, 0);
-        let due = self.parcels.drain(..).filter(|p| p.tag == Tag::Due);
+        let due = self.messages.drain(..).filter(|p| p.tag == Tag::Reroute);
         due.map(|p| p.bytes).collect()
     }
 
-    /// After the connection broke: drops what was meant for it alone, and starts whole messages anew.
+    /// Prepares the queue for the next connection after this one broke: drops messages that were meant for it
+    /// alone, and a partly written one unless it is to be sent again in full.
     pub fn reset(&mut self) {
-        if self.written > 0 && self.parcels.front().is_some_and(|p| p.tag != Tag::Kept) {
-            self.parcels.pop_front();
+        if self.written > 0 && self.messages.front().is_some_and(|p| p.tag != Tag::ResendToMachine) {
+            self.messages.pop_front();
         }
         self.written = 0;
-        self.parcels.retain(|p| p.tag != Tag::Plain);
-        self.bytes = self.parcels.iter().map(|p| p.bytes.len()).sum();
+        self.messages.retain(|p| p.tag != Tag::Plain);
+        self.bytes = self.messages.iter().map(|p| p.bytes.len()).sum();
     }
 
-    /// Writes what the socket takes now, and tells which set-ups began to leave, also where an error follows.
+    /// Writes what the socket takes now. Adds to `sent` the set-ups whose first byte was written, also if an
+    /// error follows.
     pub fn write(
         &mut self,
         stream: &impl Sink,
-        left: &mut Vec<(RequestId, AttemptNo)>,
+        sent: &mut Vec<(RequestId, AttemptNo)>,
     ) -> io::Result<Written> {
-        while !self.parcels.is_empty() {
+        while !self.messages.is_empty() {
             let mut from = self.written;
-            let rest = |p: &'_ Parcel| std::mem::take(&mut from)..p.bytes.len();
-            let ranges: Vec<_> = self.parcels.iter().take(COALESCED).map(rest).collect();
+            let rest = |p: &'_ QueuedMessage| std::mem::take(&mut from)..p.bytes.len();
+            let ranges: Vec<_> = self.messages.iter().take(MAX_COALESCED).map(rest).collect();
             let slices: Vec<IoSlice<'_>> =
-                self.parcels.iter().zip(ranges).map(|(p, range)| IoSlice::new(&p.bytes[range])).collect();
+                self.messages.iter().zip(ranges).map(|(p, range)| IoSlice::new(&p.bytes[range])).collect();
             match stream.try_write_vectored(&slices) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(count) => self.advance(count, left),
+                Ok(count) => self.advance(count, sent),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Written::Blocked),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if is_shortage(&e) => return Ok(Written::Short),
+                Err(e) if is_shortage(&e) => return Ok(Written::NoBuffers),
                 Err(e) => return Err(e),
             }
         }
         Ok(Written::All)
     }
 
-    fn advance(&mut self, mut count: usize, left: &mut Vec<(RequestId, AttemptNo)>) {
+    /// Removes so many written bytes from the front of the queue.
+    fn advance(&mut self, mut count: usize, sent: &mut Vec<(RequestId, AttemptNo)>) {
         while count > 0 {
-            let Some(front) = self.parcels.front() else { return };
+            let Some(front) = self.messages.front() else { return };
             if let (0, Tag::Launch(job, attempt)) = (self.written, front.tag) {
-                left.push((job, attempt));
+                sent.push((job, attempt));
             }
             let rest = front.bytes.len() - self.written;
             if count < rest {
@@ -216,7 +227,7 @@
             count -= rest;
             self.bytes -= front.bytes.len();
             self.written = 0;
-            self.parcels.pop_front();
+            self.messages.pop_front();
         }
     }
 }
--- a/src/wire/outbox/tests.rs
+++ b/src/wire/outbox/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::cell::Cell;
 
-/// Fails once with an error of the system, then takes a part of what it is given.
+/// A sink that fails once with an OS error, then takes a part of what it is given.
 struct FailsOnce(Cell<Option<i32>>, usize);
 
 impl Sink for FailsOnce {
@@ -13,8 +13,8 @@
     }
 }
 
-/// Guards answers and attempts against a write that a signal interrupts or that finds no buffer: their connection is as good
-/// as before, and what waits goes out with a later write.
+/// Guards queued messages against a write that a signal interrupts or that finds no buffer: the connection is
+/// still usable, and a later write sends the messages.
 #[test]
 fn a_write_that_is_interrupted_or_finds_no_buffer_goes_on_later() {
     for (code, name) in [(4, "EINTR"), (105, "ENOBUFS"), (12, "ENOMEM")] {
--- a/src/wire/platform/board.rs
+++ b/src/wire/platform/board.rs
@@ -1,24 +1,26 @@
-//! The notice board's events as pure functions on bytes.
+//! The line protocol of the discovery service (the notice board of the `board` setting), which streams the
+//! machine list; pure functions on bytes.
 
 use crate::placer::*;
 use crate::state::Notice;
 use crate::vocabulary::{key, Vocabulary};
 use serde::Deserialize;
 
-/// Bytes that a line of the board may hold: it may carry the whole list.
-pub const MOST_BYTES: usize = 4 * 1024 * 1024;
+/// Bytes. The longest line, which may carry the whole machine list.
+pub const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-/// An event of the board.
+/// A change of the machine list, or the whole list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
+    /// The revision number of the list after this event.
     pub rev: u64,
     pool: Pool,
 }
 
-/// What the board writes every second; some write the bare number.
+/// The heartbeat that the service writes every second; some implementations write the bare number.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Beat {
+struct Heartbeat {
     rev: u64,
 }
 
@@ -48,39 +50,41 @@
     free: Vec<f64>,
 }
 
-/// The events that the configuration holds.
+/// The events of the machine list that are stored in the configuration.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Known {
+    /// The last known revision.
     pub rev: u64,
     #[serde(default)]
     pub notices: Vec<Event>,
 }
 
-/// A line of the board.
+/// A line received from the service.
 #[derive(Debug)]
 pub enum Line {
+    /// An event of the list.
     Event(Box<Event>),
-    /// The last number alone.
-    Beat(u64),
+    /// A heartbeat with the last revision.
+    Heartbeat(u64),
 }
 
-/// Reads a line.
+/// Decodes a line.
 pub fn read(line: &[u8]) -> Result<Line, serde_json::Error> {
     let text = line.trim_ascii();
     let bare = serde_json::from_slice::<u64>(text);
-    match bare.or_else(|_| serde_json::from_slice::<Beat>(text).map(|beat| beat.rev)) {
-        Ok(rev) => Ok(Line::Beat(rev)),
+    match bare.or_else(|_| serde_json::from_slice::<Heartbeat>(text).map(|beat| beat.rev)) {
+        Ok(rev) => Ok(Line::Heartbeat(rev)),
         Err(_) => serde_json::from_slice(text).map(|event| Line::Event(Box::new(event))),
     }
 }
 
-/// What a planner writes first: the number of the last event that it has.
+/// The request that a planner sends first: the events after revision `rev`, the last one that it has.
 pub fn watch(rev: u64) -> Vec<u8> {
     format!("watch {rev}\n").into_bytes()
 }
 
 impl Event {
-    /// The event as a change or as the whole list.
+    /// The machines of the event, and whether they are a change or the whole list.
     pub fn notices(&self, words: &mut Vocabulary) -> (ListKind, Vec<Notice>) {
         let kind = if self.pool.reset || self.rev == 1 { ListKind::Whole } else { ListKind::Changes };
         (kind, self.pool.instances.iter().map(|i| i.notice(words)).collect())
@@ -96,7 +100,7 @@
             zone: words.zone(&self.zone),
             cell: CellId(self.cell),
             kind: words.kind(&self.machine_type),
-            // A state that is not known takes no work, as a drain.
+            // A machine in an unknown state gets no new tasks, as if it were draining.
             standing: match self.lifecycle.as_str() {
                 "in_service" => Standing::Ready,
                 "terminated" => Standing::Gone,
--- /dev/null
+++ b/src/wire/platform/machine_links.rs
@@ -0,0 +1,511 @@
+//! Keeps one long-lived connection to each machine: dials and redials it, writes what is queued for the
+//! machine, applies what it sends, and watches machines that fall silent.
+
+mod dial;
+mod end;
+
+use self::dial::{dial, DialBeside, Dialled, PendingDial};
+use self::end::{half_close, End};
+use super::node::{self, take_line, MachineMessage, PROOF};
+use crate::decide::links::{Need, VISIT_S};
+use crate::decide::silence::looks::{Looks, LOOK_EVERY_S};
+use crate::decide::silence::{is_lost, Dial, Signs, Step, Watch};
+use crate::decide::spread::Draws;
+use crate::placer::*;
+use crate::state::Input;
+use crate::wire::errors::is_transient;
+use crate::wire::hub::{to_duration, Hub};
+use crate::wire::outbox::{Written, NO_BUFFER_RETRY};
+use crate::wire::read_buffers::READ_BYTES;
+use crate::wire::socket_read::{read_available, ReadState};
+use bytes::{Buf, BytesMut};
+use std::io;
+use std::pin::pin;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::io::Interest;
+use tokio::net::TcpStream;
+use tokio::sync::{mpsc, Notify};
+use tokio::time::{sleep, timeout};
+
+/// How long a connection that was replaced by a newer one is still read, until the machine closes it.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(2000);
+/// A connection that ends this soon after it came up counts as short-lived: the next dial waits for the
+/// back-off.
+const SHORT_LIVED: Duration = Duration::from_millis(50);
+/// Back-off between dials: the first delay, and the longest.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1000));
+/// After a connection broke, the next dial is spread at random over this time, unless a set-up waits for it.
+const REDIAL_SPREAD: Duration = Duration::from_millis(250);
+/// The first dial to a machine is spread at random over this time, unless something waits to be written:
+/// otherwise all planners that start, or receive a list, at the same time would dial every machine on it at
+/// once.
+const FIRST_DIAL_SPREAD: Duration = Duration::from_millis(1000);
+
+/// Starts a connection task for each machine that the hub wants connected; `dial` limits the time of a dial.
+pub async fn hold_links(
+    hub: Arc<Hub>,
+    mut wanted: mpsc::UnboundedReceiver<(MachineId, u64)>,
+    dial: Duration,
+) {
+    while let Some((machine, link_id)) = wanted.recv().await {
+        tokio::spawn(LinkTask { hub: hub.clone(), machine, link_id, dial }.run());
+    }
+}
+
+/// Waits for `span`, or until `wake` is notified, which means that something is to be written.
+async fn woken_within(wake: &Notify, span: Duration) {
+    tokio::select! {
+        () = sleep(span) => {}
+        () = wake.notified() => {}
+    }
+}
+
+/// What is still to be processed when a connection ends.
+#[derive(Default)]
+struct Unprocessed {
+    /// Bytes that were read and do not form a complete line yet.
+    buffer: BytesMut,
+    /// The dial to the same machine that runs beside the connection, if any.
+    beside: DialBeside,
+}
+
+/// The signals that wake the task of a connection.
+struct WakeSignals {
+    /// Something is to be written, or the connection is to be closed.
+    write: Arc<Notify>,
+    /// Something began that the periodic check of the connection has to observe.
+    check: Arc<Notify>,
+}
+
+/// The task that keeps the connection to one machine.
+#[derive(Clone)]
+struct LinkTask {
+    hub: Arc<Hub>,
+    machine: MachineId,
+    link_id: u64,
+    dial: Duration,
+}
+
+impl LinkTask {
+    /// The address of the machine and the wake signals of its link; none once the machine has left the list.
+    fn address(&self) -> Option<(String, WakeSignals)> {
+        let inner = self.hub.lock();
+        let link = inner.machine_links.get(&self.machine).filter(|l| l.link_id == self.link_id);
+        link.map(|l| (l.address.clone(), WakeSignals { write: l.wake.clone(), check: l.check_wake.clone() }))
+    }
+
+    fn send_input(&self, input: Input) {
+        self.hub.apply(input);
+    }
+
+    /// Records whether the machine leaves dials unanswered; returns how many machines do so now.
+    fn record_unreachable(&self, silent: bool) -> usize {
+        let mut inner = self.hub.lock();
+        if silent && inner.machine_links.contains_key(&self.machine) {
+            inner.unreachable.insert(self.machine);
+        } else {
+            inner.unreachable.remove(&self.machine);
+        }
+        inner.unreachable.len()
+    }
+
+    /// Fails the probe that is in flight, if any.
+    fn fail_probe(&self, outcome: Outcome) {
+        let probe = self.hub.lock().machine_links.get_mut(&self.machine).and_then(|l| l.probe.take());
+        if probe.is_some() {
+            self.send_input(Input::Probed { machine: self.machine, outcome, report: None });
+        }
+    }
+
+    async fn run(self) {
+        let machine = self.machine;
+        let mut draws = Draws::new(self.hub.seed(), self.link_id);
+        let (mut wait, mut signs, mut after_reset) = (RETRY_DELAYS.0, Signs::new(self.hub.now()), false);
+        let mut replacement = None;
+        if let Some((_, wakes)) = self.address() {
+            // A queued set-up wakes the task and ends this wait.
+            woken_within(&wakes.write, draws.part(FIRST_DIAL_SPREAD)).await;
+        }
+        let mut given_back_at = None;
+        while let Some((address, wakes)) = self.address() {
+            let wake = &wakes.write;
+            if !self.acquire_place(wake, &mut draws, given_back_at).await {
+                continue;
+            }
+            let dialled = match replacement.take() {
+                Some(stream) => Dialled::Up(stream),
+                None => dial(address.clone(), self.dial).await,
+            };
+            if !matches!(dialled, Dialled::Up(_)) && self.address().is_none() {
+                // The machine left the list during the dial. The result must not count against a machine that
+                // has come back under the same name.
+                break;
+            }
+            let was_short_of_resources = matches!(dialled, Dialled::NoResources);
+            match dialled {
+                Dialled::Up(stream) => {
+                    let up = Instant::now();
+                    self.record_unreachable(false);
+                    let _ = stream.set_nodelay(true);
+                    self.send_input(Input::LinkUp { machine });
+                    let mut unprocessed = Unprocessed::default();
+                    let end = self
+                        .serve_connection(&stream, &address, &wakes, &mut draws, &mut unprocessed, &mut signs)
+                        .await;
+                    let Unprocessed { buffer, mut beside } = unprocessed;
+                    if let Some(pending_dial) = beside.take() {
+                        tokio::spawn(self.clone().drain_dialled(pending_dial));
+                    }
+                    let end = match end {
+                        Ok(End::Swap(other)) => {
+                            replacement = Some(other);
+                            tokio::spawn(self.clone().drain(stream, buffer));
+                            continue;
+                        }
+                        Ok(End::GivenBack) => {
+                            // Nothing is open on it. The place is released after the descriptor has been
+                            // closed.
+                            self.clone().drain(stream, buffer).await;
+                            given_back_at = Some(self.hub.now());
+                            self.hub.lock().release_place(self.hub.now(), machine);
+                            continue;
+                        }
+                        other => other,
+                    };
+                    after_reset =
+                        matches!(&end, Err(error) if error.kind() == io::ErrorKind::ConnectionReset);
+                    // Closing the connection cancels the attempts open on it; only then may they be retried
+                    // elsewhere.
+                    let proved = self.finish(&stream, buffer, &end).await;
+                    if let Err(error) = &end {
+                        tracing::debug!(machine = machine.0, %error, proved, "connection to a machine broke");
+                    }
+                    self.hub.lock().counts.unproved_ends += u64::from(!proved);
+                    if end.is_err() || !proved {
+                        // Discards unsent bytes in the socket, so that they cannot reach the machine later.
+                        let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+                    }
+                    drop(stream);
+                    if self.address().is_none() {
+                        // The machine left the list. If it is listed again, its new link reports on it.
+                        return self.report_departed(proved);
+                    }
+                    if let Some(link) = self.hub.lock().machine_links.get_mut(&machine) {
+                        link.outbox.reset();
+                    }
+                    self.fail_probe(Outcome::Lost);
+                    self.send_input(Input::LinkBroken { machine, proved });
+                    if up.elapsed() > SHORT_LIVED {
+                        wait = RETRY_DELAYS.0;
+                        // The cause may have broken the connections of all planners at once, so the redial is
+                        // spread at random. A set-up does not wait.
+                        if self.hub.lock().need(machine) != Need::Now {
+                            woken_within(wake, draws.part(REDIAL_SPREAD)).await;
+                        }
+                        continue;
+                    }
+                }
+                Dialled::Refused => {
+                    signs.silent_dials = 0;
+                    self.record_unreachable(false);
+                    // A reset followed by a refusal means that the process died. A refusal alone may be a
+                    // process that drains and accepts no new connections.
+                    self.send_input(if after_reset {
+                        Input::MachineLost { machine, proved: true }
+                    } else {
+                        let quiet_s = self.hub.now() - signs.told;
+                        Input::DialRefused { machine, quiet_s }
+                    });
+                }
+                Dialled::NoResources => {
+                    // The queue is kept; an unused owner connection is closed to free resources.
+                    tracing::debug!(
+                        machine = machine.0,
+                        "no descriptor, port or buffer left to dial a machine"
+                    );
+                    self.hub.lock().make_room();
+                }
+                Dialled::Silent => {
+                    signs.silent_dials += 1;
+                    self.send_input(Input::DialFailed { machine });
+                    if is_lost(signs.silent_dials, self.hub.now() - signs.sign, self.record_unreachable(true))
+                    {
+                        self.send_input(Input::MachineLost { machine, proved: false });
+                    }
+                }
+            }
+            if !was_short_of_resources {
+                self.fail_probe(Outcome::ConnectFailed);
+            }
+            {
+                // An unreachable machine does not occupy a place during its back-off while others wait for
+                // one.
+                let mut inner = self.hub.lock();
+                if inner.places.is_short() {
+                    inner.release_place(self.hub.now(), machine);
+                }
+            }
+            // The back-off keeps the planner from dialling in a tight loop where each new connection is
+            // reset.
+            woken_within(wake, draws.half(wait)).await;
+            wait = (wait * 2).min(RETRY_DELAYS.1);
+        }
+        // No connection is up, so no attempt can be open on one.
+        self.report_departed(true);
+    }
+
+    /// Whether the connection has a place among the limited number of connections. If not, waits until there
+    /// may be one: the task is woken once a place is free or something is to be written, and asks again after
+    /// [`VISIT_S`] otherwise, because a machine with running tasks has to be visited regularly.
+    async fn acquire_place(&self, wake: &Notify, draws: &mut Draws, given_back_at: Option<Seconds>) -> bool {
+        let (wait, had) = {
+            let mut inner = self.hub.lock();
+            let (now, need) = (self.hub.now(), inner.need(self.machine));
+            let visit_in = given_back_at.map_or(0.0, |at| at + VISIT_S - now);
+            if need == Need::Visit && visit_in > 0.0 && !inner.places.is_held(self.machine) {
+                (visit_in * (0.75 + 0.25 * draws.draw()), false)
+            } else {
+                (VISIT_S, inner.want_place(now, self.machine, need))
+            }
+        };
+        if !had {
+            woken_within(wake, to_duration(wait)).await;
+        }
+        had
+    }
+
+    /// Reads and writes one connection until it ends or a newer one replaces it. Keeps `signs` up to date:
+    /// when the machine last gave a sign of life, and how many dials in a row have failed since.
+    async fn serve_connection(
+        &self,
+        stream: &TcpStream,
+        address: &str,
+        wakes: &WakeSignals,
+        draws: &mut Draws,
+        unprocessed: &mut Unprocessed,
+        signs: &mut Signs,
+    ) -> io::Result<End> {
+        let Unprocessed { buffer, beside } = unprocessed;
+        let mut watch = Watch::new(self.hub.now());
+        let (mut sent, mut half_line_since) = (Vec::new(), None::<Seconds>);
+        let mut checks = Looks::new(self.hub.now() + LOOK_EVERY_S * draws.draw());
+        let mut check_at = None;
+        let mut timer = pin!(sleep(Duration::ZERO));
+        loop {
+            *signs = watch.signs();
+            if self.has_set_up() {
+                // Reads whatever has arrived before a set-up is written, so that no attempt is written to a
+                // connection that the machine has closed already: the attempt never ran, and is written to
+                // the next connection.
+                let unprocessed = buffer.len();
+                let read_state = read_available(stream, buffer);
+                if buffer.len() > unprocessed {
+                    self.receive(buffer, &mut watch, &mut half_line_since)?;
+                }
+                match read_state {
+                    ReadState::Open => {}
+                    ReadState::End => return Ok(End::Closed),
+                    ReadState::Broken(error) => return Err(error),
+                }
+            }
+            let at = (self.machine, self.link_id, address);
+            let Some(written) = self.hub.flush_to_machine(at, stream, &mut sent)? else {
+                return Ok(End::Left);
+            };
+            if written == Written::NoBuffers {
+                sleep(NO_BUFFER_RETRY).await;
+            }
+            let open = {
+                let mut inner = self.hub.lock();
+                if inner.must_give_back(self.hub.now(), self.machine) {
+                    return Ok(End::GivenBack);
+                }
+                inner.open_on(self.machine, half_line_since)
+            };
+            let planned = checks.plan(self.hub.now(), open.due(&watch));
+            if planned != check_at {
+                if let Some(at) = planned {
+                    timer.as_mut().reset(tokio::time::Instant::now() + to_duration(at - self.hub.now()));
+                }
+                check_at = planned;
+            }
+            let interest = match written {
+                Written::All => Interest::READABLE,
+                Written::Blocked | Written::NoBuffers => Interest::READABLE | Interest::WRITABLE,
+            };
+            tokio::select! {
+                () = wakes.write.notified() => self.hub.lock().places.used(self.hub.now(), self.machine),
+                () = wakes.check.notified() => {}
+                () = &mut timer, if check_at.is_some() => {
+                    let now = self.hub.now();
+                    checks.looked(now);
+                    check_at = None;
+                    let open = self.hub.lock().open_on(self.machine, half_line_since);
+                    if open.is_line_lost(now) {
+                        return Err(io::Error::new(io::ErrorKind::TimedOut, "line incomplete"));
+                    }
+                    if open.is_short {
+                        self.hub.lock().reclaim_places(now);
+                    }
+                    if open.is_test_late(now) {
+                        self.fail_probe(Outcome::TimedOut);
+                    }
+                    match watch.look(now, open.holds_tasks, draws.draw()) {
+                        Step::Dial => beside.begin(address, self.dial),
+                        step => {
+                            if let Some(end) = self.apply_step(step, None, &watch, signs)? {
+                                return Ok(end);
+                            }
+                        }
+                    }
+                }
+                dialled = beside.ended() => {
+                    let dial = dialled.kind();
+                    if dial != Dial::Short {
+                        self.record_unreachable(dial == Dial::Silent);
+                    }
+                    let is_open = self.hub.lock().is_open_at(self.machine);
+                    let step = watch.dialled(self.hub.now(), dial, is_open);
+                    if let Some(end) = self.apply_step(step, dialled.up(), &watch, signs)? {
+                        return Ok(end);
+                    }
+                }
+                ready = stream.ready(interest) => {
+                    if ready?.is_readable() {
+                        if buffer.is_empty() {
+                            *buffer = self.hub.read_buffers.lend();
+                        } else {
+                            buffer.reserve(READ_BYTES);
+                        }
+                        match stream.try_read_buf(buffer) {
+                            Ok(0) => return Ok(End::Closed),
+                            Ok(_) => self.receive(buffer, &mut watch, &mut half_line_since)?,
+                            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                            Err(error) if is_transient(&error) => {}
+                            Err(error) => return Err(error),
+                        }
+                        if buffer.is_empty() {
+                            self.hub.read_buffers.give_back(std::mem::take(buffer));
+                        }
+                    }
+                }
+            }
+        }
+    }
+
+    /// Carries out a step that the watch over a silent connection asked for; `other` is the connection that a
+    /// dial beside it has brought up. Returns how the current connection ends, if it does.
+    fn apply_step(
+        &self,
+        step: Step,
+        other: Option<TcpStream>,
+        watch: &Watch,
+        signs: &mut Signs,
+    ) -> io::Result<Option<End>> {
+        match step {
+            Step::Wait | Step::Dial => {}
+            Step::Swap => return Ok(Some(other.map_or(End::Closed, End::Swap))),
+            Step::HearOut => {
+                if let Some(other) = other {
+                    tokio::spawn(self.clone().drain(other, BytesMut::new()));
+                }
+            }
+            Step::Nudge => self.hub.lock().nudge_machine(self.machine),
+            Step::Lost => self.send_input(Input::MachineLost { machine: self.machine, proved: false }),
+            Step::Close => {
+                *signs = watch.signs();
+                // The open attempts are given up with the connection; running tasks may be waited for.
+                let (dials, quiet_s) = (signs.silent_dials, self.hub.now() - signs.sign);
+                if dials > 0 && is_lost(dials, quiet_s, self.record_unreachable(true)) {
+                    self.send_input(Input::MachineLost { machine: self.machine, proved: false });
+                }
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    "the machine is silent: connection closed",
+                ));
+            }
+        }
+        Ok(None)
+    }
+
+    /// Drains the connection of a dial that is no longer needed, if it comes up: a machine sends outstanding
+    /// messages on each new connection, and they must not be lost.
+    async fn drain_dialled(self, pending_dial: PendingDial) {
+        if let Dialled::Up(stream) = pending_dial.await {
+            self.drain(stream, BytesMut::new()).await;
+        }
+    }
+
+    /// Whether a set-up is queued of which nothing has been written.
+    fn has_set_up(&self) -> bool {
+        let inner = self.hub.lock();
+        inner
+            .machine_links
+            .get(&self.machine)
+            .is_some_and(|l| l.link_id == self.link_id && l.outbox.has_set_up())
+    }
+
+    /// Processes the lines received on the current connection, and updates its watch.
+    fn receive(
+        &self,
+        buffer: &mut BytesMut,
+        watch: &mut Watch,
+        half_line_since: &mut Option<Seconds>,
+    ) -> io::Result<()> {
+        self.hub.lock().places.used(self.hub.now(), self.machine);
+        let about_task = self.process_lines(buffer)?;
+        watch.heard(self.hub.now(), about_task);
+        *half_line_since = (!buffer.is_empty()).then(|| self.hub.now());
+        Ok(())
+    }
+
+    /// Processes what the machine sends on a connection other than the current one, until the machine closes
+    /// it.
+    async fn drain(self, stream: TcpStream, mut buffer: BytesMut) {
+        // No attempt is open on it: the machine sends its outstanding messages and closes it.
+        let end = half_close(&stream, &mut buffer, |buffer| self.process_lines(buffer).map(drop));
+        let end = timeout(DRAIN_TIMEOUT, end).await;
+        tracing::debug!(machine = self.machine.0, ?end, "replaced connection to a machine ended");
+    }
+
+    /// Processes all complete lines in the buffer; returns whether one of them was about a task.
+    fn process_lines(&self, buffer: &mut BytesMut) -> io::Result<bool> {
+        let mut about_task = false;
+        loop {
+            let too_long = |e| io::Error::new(io::ErrorKind::InvalidData, format!("{e}"));
+            let Some((length, line)) = take_line(buffer, node::MAX_LINE_BYTES).map_err(too_long)? else {
+                return Ok(about_task);
+            };
+            match node::read(line) {
+                Ok(message) => {
+                    about_task |=
+                        matches!(message, MachineMessage::Running { .. } | MachineMessage::Stopped { .. });
+                    self.apply_message(message);
+                }
+                // After one corrupt line the following ones cannot be trusted either, and its content is
+                // lost. The connection is closed: the machine reports its running tasks again on the next
+                // one.
+                Err(error) => return Err(io::Error::new(io::ErrorKind::InvalidData, error.to_string())),
+            }
+            buffer.advance(length);
+        }
+    }
+
+    /// Applies one message of the machine; drops the answer to a probe that has been given up.
+    fn apply_message(&self, message: MachineMessage) {
+        let machine = self.machine;
+        let mut inner = self.hub.lock();
+        if matches!(message, MachineMessage::Checked { number, .. } if number & PROOF == 0) {
+            let asked = inner.machine_links.get_mut(&machine).and_then(|l| l.probe.take());
+            if asked.is_none() {
+                return; // The probe has timed out already.
+            }
+        }
+        let Some(input) = message.input(machine, inner.core.words()) else { return };
+        self.hub.apply_in(&mut inner, input);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/wire/platform/boxes/dial.rs
+++ b/src/wire/platform/machine_links/dial.rs
@@ -9,32 +9,37 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How a dial ended, with its connection.
+/// The result of a dial.
 pub enum Dialled {
+    /// The connection.
     Up(TcpStream),
-    /// Its host says that nobody listens there: the one error that proves anything.
+    /// The host answered that nothing listens on the port: the one error that proves anything about the
+    /// machine.
     Refused,
-    /// No connection came up, for whatever reason on the way.
+    /// No connection came up: the time ran out, or the network or host failed. It proves nothing about the
+    /// machine.
     Silent,
-    /// This planner has no descriptor, port or buffer left: no word of any machine.
-    Short,
+    /// This planner has no descriptor, port or buffer left, which says nothing about the machine.
+    NoResources,
 }
 
 impl Dialled {
-    /// What an error says of the machine.
+    /// Classifies the error of a dial.
     pub fn failed(error: &io::Error) -> Dialled {
         use io::ErrorKind::{
             AddrInUse, AddrNotAvailable, ConnectionRefused, Interrupted, OutOfMemory, PermissionDenied,
         };
         match error.kind() {
             ConnectionRefused => Dialled::Refused,
-            AddrInUse | AddrNotAvailable | Interrupted | OutOfMemory | PermissionDenied => Dialled::Short,
-            _ if is_shortage(error) => Dialled::Short,
+            AddrInUse | AddrNotAvailable | Interrupted | OutOfMemory | PermissionDenied => {
+                Dialled::NoResources
+            }
+            _ if is_shortage(error) => Dialled::NoResources,
             _ => Dialled::Silent,
         }
     }
 
-    /// The connection, where one came up.
+    /// The connection, if the dial succeeded.
     pub fn up(self) -> Option<TcpStream> {
         match self {
             Dialled::Up(stream) => Some(stream),
@@ -42,18 +47,18 @@
         }
     }
 
-    /// How it ended, without its connection.
+    /// The result without its connection, for the watch.
     pub fn kind(&self) -> Dial {
         match self {
             Dialled::Up(_) => Dial::Up,
             Dialled::Refused => Dial::Refused,
             Dialled::Silent => Dial::Silent,
-            Dialled::Short => Dial::Short,
+            Dialled::NoResources => Dial::Short,
         }
     }
 }
 
-/// Dials an address; a connection that has not come up by then never will.
+/// Dials an address; a connection that is not up within `limit` counts as failed.
 pub async fn dial(address: String, limit: Duration) -> Dialled {
     match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Dialled::Up(stream),
@@ -63,33 +68,34 @@
 }
 
 /// A dial that is under way.
-pub type Dialling = Pin<Box<dyn Future<Output = Dialled> + Send>>;
+pub type PendingDial = Pin<Box<dyn Future<Output = Dialled> + Send>>;
 
-/// The dial beside a connection in use, where one is under way. The connection is served meanwhile: nothing that is to be
-/// written on it waits for a dial that hangs.
+/// A dial that runs beside a connection in use, if any. The connection is served meanwhile: no write waits
+/// for a dial that hangs.
 #[derive(Default)]
 pub struct DialBeside {
-    dialling: Option<Dialling>,
+    pending_dial: Option<PendingDial>,
 }
 
 impl DialBeside {
     /// Begins a dial, unless one is under way.
     pub fn begin(&mut self, address: &str, limit: Duration) {
-        if self.dialling.is_none() {
-            self.dialling = Some(Box::pin(dial(address.to_string(), limit)));
+        if self.pending_dial.is_none() {
+            self.pending_dial = Some(Box::pin(dial(address.to_string(), limit)));
         }
     }
 
-    /// Waits until the dial has ended, for good where none is under way. It goes on where the wait is dropped.
+    /// Waits for the result of the dial, or forever if none is under way. Dropping this future does not
+    /// cancel the dial.
     pub async fn ended(&mut self) -> Dialled {
-        let Some(dialling) = &mut self.dialling else { return pending().await };
-        let dialled = dialling.await;
-        self.dialling = None;
+        let Some(pending_dial) = &mut self.pending_dial else { return pending().await };
+        let dialled = pending_dial.await;
+        self.pending_dial = None;
         dialled
     }
 
-    /// The dial that is under way, for whoever goes on with it.
-    pub fn take(&mut self) -> Option<Dialling> {
-        self.dialling.take()
+    /// Takes the dial that is under way, for a caller that continues it.
+    pub fn take(&mut self) -> Option<PendingDial> {
+        self.pending_dial.take()
     }
 }
--- a/src/wire/platform/boxes/tests.rs
+++ b/src/wire/platform/machine_links/tests.rs
@@ -1,14 +1,15 @@
 use super::*;
 
-/// Guards what stands and what is out against errors that prove nothing: only a host that says that nobody listens
-/// proves that a process is gone, and what this planner lacks is no word of a machine at all.
+/// Guards running tasks and open attempts against being given up after errors that prove nothing. Only a
+/// refused connection proves that no process listens; a shortage in this planner says nothing about the
+/// machine.
 #[test]
 fn only_a_refused_connection_proves_anything() {
-    let told = |code: i32| match Dialled::failed(&io::Error::from_raw_os_error(code)) {
+    let classify = |code: i32| match Dialled::failed(&io::Error::from_raw_os_error(code)) {
         Dialled::Up(_) => "up",
         Dialled::Refused => "refused",
         Dialled::Silent => "silent",
-        Dialled::Short => "short",
+        Dialled::NoResources => "short",
     };
     let codes = [
         (111, "refused"), // ECONNREFUSED
@@ -24,7 +25,7 @@
         (99, "short"),    // EADDRNOTAVAIL
         (98, "short"),    // EADDRINUSE
     ];
-    for (code, what) in codes {
-        assert_eq!(told(code), what, "error {code}");
+    for (code, expected) in codes {
+        assert_eq!(classify(code), expected, "error {code}");
     }
 }
--- a/src/wire/platform/mod.rs
+++ b/src/wire/platform/mod.rs
@@ -1,16 +1,17 @@
-//! The platform's protocol: owners' binary messages, boxes' JSON lines, the notice board. A thin front.
+//! The platform protocol: binary messages of owners, JSON lines of machines, and the machine list of the
+//! discovery service. Connections and encoding alone; all decisions are made by the core.
 //!
-//! No datagram is sent to peers: by the design each planner counts its own binds alone.
+//! Nothing here sends datagrams to peers: by design each planner counts only its own placements.
 
 pub mod board;
-mod boxes;
-mod lists;
+mod machine_links;
+mod machine_list;
 pub mod node;
 pub mod owner;
 pub mod owners;
 
-pub use boxes::hold_links;
-pub use lists::{follow, take_in, Source, Telling};
+pub use machine_links::hold_links;
+pub use machine_list::{follow, take_in, Source, Telling};
 pub use owners::serve;
 
 #[cfg(test)]
--- a/src/wire/platform/node.rs
+++ b/src/wire/platform/node.rs
@@ -1,4 +1,8 @@
-//! The boxes' JSON lines as pure functions on bytes.
+//! Encoding and decoding of the JSON lines exchanged with machines; pure functions on bytes.
+//!
+//! A set-up (`launch`) asks a machine to start a task; a `stop` releases one. A `check` is a health check,
+//! which the machine answers; with [`PROOF`] in its number the answer proves that everything written before
+//! it has been received.
 
 use crate::placer::*;
 use crate::state::{Input, Spec};
@@ -13,13 +17,13 @@
 use winnow::token::take_while;
 use winnow::Partial;
 
-/// Bytes that a line may hold, its end included.
-pub const MOST_BYTES: usize = 16 * 1024;
+/// Bytes. The longest line, its line feed included.
+pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// Seconds. More than any planner waits.
-const MOST_LEFT_S: Seconds = 1e9;
+/// Seconds. Longer than any planner waits for an answer.
+const MAX_LEFT_S: Seconds = 1e9;
 
-/// Causes of releases.
+/// Cause codes of releases.
 pub mod cause {
     pub const OVER: u8 = 16;
     pub const CANCELLED: u8 = 31;
@@ -34,65 +38,68 @@
 /// Why a line is not a message.
 #[derive(Debug, Error)]
 pub enum Malformed {
-    #[error("a line of over {MOST_BYTES} bytes")]
+    /// The line is too long.
+    #[error("line longer than {MAX_LINE_BYTES} bytes")]
     Long,
-    #[error("not a message: {0}")]
+    /// The line is not the JSON of a message.
+    #[error("invalid message: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("{0} cannot be read")]
+    /// The named value is absent or invalid.
+    #[error("missing or invalid {0}")]
     Value(&'static str),
 }
 
-/// What a box says.
+/// A message from a machine.
 #[derive(Debug)]
-pub enum Says {
-    Running {
-        job: RequestId,
-        body: String,
-    },
+pub enum MachineMessage {
+    /// The task has started; `body` is the answer for its owner.
+    Running { job: RequestId, body: String },
+    /// The attempt was refused or has ended.
     Stopped {
         job: RequestId,
+        /// The outcome if the task had not been reported as running before.
         before: Outcome,
+        /// The outcome if it had.
         after: Outcome,
         why: Reason,
         load: Option<Load>,
     },
+    /// The answer to a health check.
     Checked {
-        /// The number of the test.
+        /// The number of the check.
         number: u64,
         passed: bool,
         load: Option<Load>,
     },
-    Note {
-        job: RequestId,
-        note: Note,
-    },
-    /// Free words that mean nothing here.
+    /// An update about a running task.
+    Note { job: RequestId, note: Note },
+    /// A message without meaning for the planner.
     Free,
 }
 
-impl Says {
-    /// What it means to the core; nothing where it means nothing.
+impl MachineMessage {
+    /// The message as an input of the core, if it has a meaning there.
     pub fn input(self, machine: MachineId, words: &Vocabulary) -> Option<Input> {
         let report = |load: Option<Load>| load.map(|load| words.report_by(|name| load.get(name)));
         Some(match self {
-            Says::Running { job, body } => Input::Bound { machine, job, body },
-            Says::Stopped { job, before, after, why, load } => {
+            MachineMessage::Running { job, body } => Input::Bound { machine, job, body },
+            MachineMessage::Stopped { job, before, after, why, load } => {
                 Input::Ended { machine, job, before, after, why, report: report(load) }
             }
-            Says::Checked { number, .. } if number & PROOF != 0 => {
+            MachineMessage::Checked { number, .. } if number & PROOF != 0 => {
                 Input::Heard { machine, ask: number & !PROOF }
             }
-            Says::Checked { passed, load, .. } => {
+            MachineMessage::Checked { passed, load, .. } => {
                 let outcome = if passed { Outcome::Ok } else { Outcome::Error };
                 Input::Probed { machine, outcome, report: report(load) }
             }
-            Says::Note { job, note } => Input::Noted { machine, job, note },
-            Says::Free => return None,
+            MachineMessage::Note { job, note } => Input::Noted { machine, job, note },
+            MachineMessage::Free => return None,
         })
     }
 }
 
-/// The figures of a report by name.
+/// The figures of a load report by name.
 #[derive(Debug)]
 pub struct Load(Vec<(String, f64)>);
 
@@ -105,7 +112,7 @@
         Load(text.split(';').filter_map(figure).collect())
     }
 
-    /// One figure.
+    /// The figure of that name.
     pub fn get(&self, name: &str) -> Option<f64> {
         self.0.iter().find(|(n, _)| n == name).map(|(_, v)| *v)
     }
@@ -122,7 +129,8 @@
     body: Option<String>,
 }
 
-/// Takes one line off the front, without its end: how many bytes it took, or nothing until more has come.
+/// Finds the line at the front of `bytes`: returns how many bytes it takes and the line without its line
+/// feed, or nothing while it is incomplete.
 pub fn take_line(bytes: &[u8], most: usize) -> Result<Option<(usize, &[u8])>, Malformed> {
     let mut input = Partial::new(bytes);
     let line = terminated(take_while(0.., |b| b != b'\n'), b'\n');
@@ -141,42 +149,42 @@
     }
 }
 
-/// Reads what a box says.
-pub fn read(line: &[u8]) -> Result<Says, Malformed> {
+/// Decodes a message from a machine.
+pub fn read(line: &[u8]) -> Result<MachineMessage, Malformed> {
     let line: Line = serde_json::from_slice(line)?;
     let job = || u64::from_str_radix(&line.uid, 16).map(RequestId).map_err(|_| Malformed::Value("uid"));
     let load = || text(&line.meta, "load").map(|t| Load::parse(&t));
     Ok(match line.kind.as_str() {
         "running" => {
-            Says::Running { job: job()?, body: line.body.ok_or(Malformed::Value("the description"))? }
+            MachineMessage::Running { job: job()?, body: line.body.ok_or(Malformed::Value("description"))? }
         }
         "stop" => {
-            let (before, after) = outcomes(line.reason.ok_or(Malformed::Value("the cause"))?);
+            let (before, after) = outcomes(line.reason.ok_or(Malformed::Value("cause"))?);
             let why = text(&line.meta, "note").map_or(Reason::Unknown, |note| reason(&note));
-            Says::Stopped { job: job()?, before, after, why, load: load() }
+            MachineMessage::Stopped { job: job()?, before, after, why, load: load() }
         }
         "checked" => {
-            // A test has no job; one whose number cannot be read proves nothing but that the box is there.
+            // A check belongs to no job. An answer with an invalid number shows only that the machine is up.
             let number = u64::from_str_radix(&line.uid, 16).unwrap_or(0);
-            Says::Checked { number, passed: line.reason != Some(0), load: load() }
+            MachineMessage::Checked { number, passed: line.reason != Some(0), load: load() }
         }
         "update" => {
             let value = text(&line.meta, "value").and_then(|v| v.parse().ok()).unwrap_or(0.0);
             match text(&line.meta, "note").as_deref() {
-                Some("live") => Says::Note { job: job()?, note: Note::Runs },
-                Some("c") => Says::Note { job: job()?, note: Note::CoresUsed(value) },
-                Some("m") => Says::Note { job: job()?, note: Note::MemoryUsed(value) },
-                Some("s") => Says::Note { job: job()?, note: Note::Served(value) },
-                Some("p") => Says::Note { job: job()?, note: Note::MachineMemory(value) },
-                _ => Says::Free,
+                Some("live") => MachineMessage::Note { job: job()?, note: Note::Runs },
+                Some("c") => MachineMessage::Note { job: job()?, note: Note::CoresUsed(value) },
+                Some("m") => MachineMessage::Note { job: job()?, note: Note::MemoryUsed(value) },
+                Some("s") => MachineMessage::Note { job: job()?, note: Note::Served(value) },
+                Some("p") => MachineMessage::Note { job: job()?, note: Note::MachineMemory(value) },
+                _ => MachineMessage::Free,
             }
         }
-        "staging" | "stopped" => Says::Free,
-        _ => return Err(Malformed::Value("the type")),
+        "staging" | "stopped" => MachineMessage::Free,
+        _ => return Err(Malformed::Value("type")),
     })
 }
 
-/// What a release means before the answer, and what after it.
+/// The outcome that a release means before the task was reported as running, and the one after that.
 fn outcomes(reason: u8) -> (Outcome, Outcome) {
     match reason {
         cause::FULL => (Outcome::Full, Outcome::Lost),
@@ -207,12 +215,12 @@
     line
 }
 
-/// A job's id as it is written.
+/// A job's id as it is written in messages: 16 hexadecimal digits.
 pub fn uid(job: RequestId) -> String {
     format!("{:016x}", job.0)
 }
 
-/// A set-up.
+/// The message that asks a machine to start a task; `left_s` is the time that is left for its answer.
 pub fn launch(job: RequestId, left_s: Seconds, spec: &Spec) -> Vec<u8> {
     let left = ((left_s * 1e3).round().max(1.0) as u64).to_string();
     let mut meta = json!({"class": spec.class, "key": spec.name, "left": left});
@@ -222,20 +230,21 @@
     line(json!({"kind": "launch", "uid": uid(job), "meta": meta, "body": spec.body}))
 }
 
-/// A set-up that waits to be written.
+/// A set-up that is queued for a machine.
 #[derive(Clone, Debug)]
 pub struct SetUp {
     pub job: RequestId,
     pub attempt: AttemptNo,
     /// When the planner stops waiting for its answer.
     pub until: Seconds,
-    /// The test that goes right before it.
+    /// The number of the proof check that is written right before it, if any.
     pub fence: Option<u64>,
     pub spec: Arc<Spec>,
 }
 
 impl SetUp {
-    /// What is written of it if that is now: one message, so that the test goes wherever the set-up does.
+    /// The bytes of the set-up if it is written at `now`, and of the check before it. They form one queued
+    /// message, so that the check is always written together with the set-up.
     pub fn lines(&self, now: Seconds) -> Vec<u8> {
         let mut lines = self.fence.map_or_else(Vec::new, |ask| check(PROOF | ask));
         lines.extend(launch(self.job, self.until - now, &self.spec));
@@ -243,25 +252,26 @@
     }
 }
 
-/// Whether a set-up fits into a line; JSON makes some descriptions longer.
+/// Whether a set-up fits into a line; JSON escapes make some descriptions longer.
 pub fn fits(job: RequestId, spec: &Spec) -> bool {
-    launch(job, MOST_LEFT_S, spec).len() <= MOST_BYTES
+    launch(job, MAX_LEFT_S, spec).len() <= MAX_LINE_BYTES
 }
 
-/// A release, or a set-up given up.
+/// The message that releases a running task or cancels an attempt.
 pub fn stop(job: RequestId, cause: u8) -> Vec<u8> {
     line(json!({"kind": "stop", "uid": uid(job), "meta": {}, "reason": cause}))
 }
 
-/// A word that is free and means nothing.
+/// A message that the machine ignores; writing it shows whether the connection is still alive.
 pub fn progress(job: RequestId) -> Vec<u8> {
     line(json!({"kind": "staging", "uid": uid(job), "meta": {}}))
 }
 
-/// Marks the number of a test that is to prove what came to a box before it.
+/// Bit that marks the number of a check whose answer proves that the machine received everything written
+/// before it.
 pub const PROOF: u64 = 1 << 63;
 
-/// A test that is answered with a report.
+/// A health check; the machine answers with a load report.
 pub fn check(number: u64) -> Vec<u8> {
     line(json!({"kind": "check", "uid": format!("{number:016x}"), "meta": {}, "reason": 1}))
 }
--- a/src/wire/platform/owner.rs
+++ b/src/wire/platform/owner.rs
@@ -1,4 +1,7 @@
-//! The owners' binary messages as pure functions on bytes.
+//! Encoding and decoding of the binary messages exchanged with owners (the clients of jobs); pure functions
+//! on bytes.
+//!
+//! A set-up asks the planner to start a task; a release ends one, or reports a refusal, a failure or an end.
 //!
 //! `length:2 type:1 task:8 parameters`, each parameter `code:1 length:2 value`, big-endian.
 
@@ -9,31 +12,31 @@
 use winnow::prelude::*;
 use winnow::Partial;
 
-/// Bytes that a whole message may hold.
-pub const MOST_BYTES: usize = 16 * 1024;
-/// Bytes of the type and the task.
-const LEAST_LENGTH: usize = 9;
+/// Bytes. The longest message, its length field included.
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
+/// Bytes. The type and the task, which each message has.
+const MIN_LENGTH: usize = 9;
 
-/// Types of messages.
+/// Message types.
 pub mod kind {
     pub const SET_UP: u8 = 1;
     pub const PROGRESS: u8 = 6;
     pub const ANSWER: u8 = 9;
     pub const RELEASE: u8 = 12;
-    pub const RELEASE_HEARD: u8 = 16;
+    pub const RELEASE_ACK: u8 = 16;
     pub const NOTE: u8 = 44;
     pub const MOVE: u8 = 51;
     pub const TEST: u8 = 52;
     pub const TESTED: u8 = 53;
 }
 
-/// Codes of parameters.
+/// Parameter codes.
 mod code {
     pub const CLASS: u8 = 3;
     pub const WAIT: u8 = 4;
     pub const NAME: u8 = 7;
     pub const FIGURES: u8 = 8;
-    pub const STAY_AWAY: u8 = 9;
+    pub const RETRY_AFTER: u8 = 9;
     pub const KEY: u8 = 16;
     pub const CAUSE: u8 = 17;
     pub const DESCRIPTION: u8 = 18;
@@ -42,17 +45,21 @@
 /// Why bytes are not a message.
 #[derive(Debug, Error, PartialEq)]
 pub enum Malformed {
-    #[error("a message of {0} bytes")]
+    /// The length, in bytes, is out of range.
+    #[error("invalid message length: {0} bytes")]
     Length(usize),
-    #[error("parameters that do not fill their message")]
+    /// The parameters do not add up to the length of the message.
+    #[error("the parameters do not match the message length")]
     Parameters,
-    #[error("no {0}")]
+    /// A mandatory parameter or figure is absent.
+    #[error("missing {0}")]
     Missing(&'static str),
-    #[error("{0} cannot be read")]
+    /// The named value is invalid.
+    #[error("invalid {0}")]
     Value(&'static str),
 }
 
-/// A message whose parameters have not been read.
+/// A message whose parameters have not been decoded.
 #[derive(Debug, PartialEq)]
 pub struct Message<'a> {
     pub kind: u8,
@@ -60,7 +67,7 @@
     parameters: &'a [u8],
 }
 
-/// A set-up, read.
+/// The parameters of a set-up.
 #[derive(Debug, PartialEq)]
 pub struct SetUp {
     pub class: String,
@@ -70,25 +77,26 @@
     pub cores: f64,
     pub memory: f64,
     pub service: u64,
-    /// The box that holds the task already.
+    /// The name of the machine on which the task already runs, where the planner is to take it over.
     pub at: Option<String>,
     pub body: String,
 }
 
-/// Takes one message off the front: how many bytes it took, or nothing until more has come.
+/// Decodes the message at the front of `bytes`; returns its length and the message, or nothing while it is
+/// incomplete.
 pub fn take(bytes: &[u8]) -> Result<Option<(usize, Message<'_>)>, Malformed> {
     let mut input = Partial::new(bytes);
     let length = match be_u16::<_, ErrMode<ContextError>>.parse_next(&mut input) {
         Ok(length) => usize::from(length),
         Err(_) => return Ok(None),
     };
-    if length < LEAST_LENGTH || length + 2 > MOST_BYTES {
+    if length < MIN_LENGTH || length + 2 > MAX_MESSAGE_BYTES {
         return Err(Malformed::Length(length + 2));
     }
-    let Some(mut whole) = bytes.get(2..2 + length) else { return Ok(None) };
-    let head = (be_u8::<_, ErrMode<ContextError>>, be_u64).parse_next(&mut whole);
+    let Some(mut payload) = bytes.get(2..2 + length) else { return Ok(None) };
+    let head = (be_u8::<_, ErrMode<ContextError>>, be_u64).parse_next(&mut payload);
     let (kind, task) = head.map_err(|_| Malformed::Length(length + 2))?;
-    Ok(Some((2 + length, Message { kind, task, parameters: whole })))
+    Ok(Some((2 + length, Message { kind, task, parameters: payload })))
 }
 
 impl<'a> Message<'a> {
@@ -97,17 +105,17 @@
         repeat(0.., one).parse(self.parameters).map_err(|_| Malformed::Parameters)
     }
 
-    /// The cause, where one is there.
+    /// The cause parameter, if present.
     pub fn cause(&self) -> Result<Option<u8>, Malformed> {
         let parameters = self.parameters()?;
         match parameters.iter().find(|(c, _)| *c == code::CAUSE) {
             None => Ok(None),
             Some((_, [cause])) => Ok(Some(*cause)),
-            Some(_) => Err(Malformed::Value("the cause")),
+            Some(_) => Err(Malformed::Value("cause")),
         }
     }
 
-    /// Reads the message as a set-up.
+    /// Decodes the parameters as those of a set-up.
     pub fn set_up(&self) -> Result<SetUp, Malformed> {
         let parameters = self.parameters()?;
         let text = |wanted: u8, what: &'static str| {
@@ -116,8 +124,8 @@
                 |(_, v): &(u8, &[u8])| String::from_utf8(v.to_vec()).map_err(|_| Malformed::Value(what));
             found.map(read).transpose()
         };
-        let need = |wanted, what| text(wanted, what)?.ok_or(Malformed::Missing(what));
-        let figures = need(code::FIGURES, "figures")?;
+        let required = |wanted, what| text(wanted, what)?.ok_or(Malformed::Missing(what));
+        let figures = required(code::FIGURES, "figures")?;
         let figure = |wanted: &str| {
             let named = figures.split(';').filter_map(|f| f.split_once(':'));
             named.filter(|(name, _)| *name == wanted).map(|(_, value)| value).next()
@@ -132,11 +140,11 @@
             }
         };
         let service = figure("service").ok_or(Malformed::Missing("service"))?;
-        let wait = need(code::WAIT, "waiting time")?;
+        let wait = required(code::WAIT, "waiting time")?;
         Ok(SetUp {
-            class: need(code::CLASS, "class")?,
+            class: required(code::CLASS, "class")?,
             wait_ms: wait.trim().parse().map_err(|_| Malformed::Value("waiting time"))?,
-            name: need(code::NAME, "name")?,
+            name: required(code::NAME, "name")?,
             key: text(code::KEY, "key")?,
             cores: amount("cores")?,
             memory: amount("memory")?,
@@ -148,7 +156,7 @@
 }
 
 fn message(kind: u8, task: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
-    let length = LEAST_LENGTH + parameters.iter().map(|(_, v)| 3 + v.len()).sum::<usize>();
+    let length = MIN_LENGTH + parameters.iter().map(|(_, v)| 3 + v.len()).sum::<usize>();
     let mut out = Vec::with_capacity(2 + length);
     out.extend((length as u16).to_be_bytes());
     out.push(kind);
@@ -161,24 +169,24 @@
     out
 }
 
-/// The task stands; nothing where the description does not fit into a message.
+/// The answer that a task was placed and runs; nothing where its description does not fit into a message.
 pub fn answer(task: u64, body: &str) -> Option<Vec<u8>> {
-    let fits = body.len() + LEAST_LENGTH + 5 <= MOST_BYTES;
+    let fits = body.len() + MIN_LENGTH + 5 <= MAX_MESSAGE_BYTES;
     fits.then(|| message(kind::ANSWER, task, &[(code::DESCRIPTION, body.as_bytes())]))
 }
 
-/// A refusal, a failure, or the end of what stood.
-pub fn release(task: u64, cause: u8, stay_away_ms: Option<u64>) -> Vec<u8> {
-    match stay_away_ms {
+/// A refusal, a failure, or the end of a running task.
+pub fn release(task: u64, cause: u8, retry_after_ms: Option<u64>) -> Vec<u8> {
+    match retry_after_ms {
         None => message(kind::RELEASE, task, &[(code::CAUSE, &[cause])]),
         Some(ms) => {
             let ms = ms.to_string();
-            message(kind::RELEASE, task, &[(code::STAY_AWAY, ms.as_bytes()), (code::CAUSE, &[cause])])
+            message(kind::RELEASE, task, &[(code::RETRY_AFTER, ms.as_bytes()), (code::CAUSE, &[cause])])
         }
     }
 }
 
-/// The answer to a test.
+/// The answer to a health check.
 pub fn tested(task: u64, passed: bool) -> Vec<u8> {
     message(kind::TESTED, task, &[(code::CAUSE, &[u8::from(passed)])])
 }
--- a/src/wire/platform/owners.rs
+++ b/src/wire/platform/owners.rs
@@ -1,13 +1,14 @@
-//! Connections of owners: bytes in, inputs out; answers back.
+//! Connections of owners (the clients of jobs) on the platform protocol: accepts them, turns their messages
+//! into inputs of the core, and writes the answers back.
 
 use super::node::{self, cause};
 use super::owner::{self, kind, Malformed, Message, SetUp};
 use crate::placer::*;
 use crate::state::{Ask, Core, Input, Owner, Spec};
-use crate::wire::arrived::TURN_BYTES;
 use crate::wire::errors::is_shortage;
-use crate::wire::hub::{is_unread, Hub, Inner};
-use crate::wire::outbox::{Written, BUFFERS_AGAIN};
+use crate::wire::hub::{has_unread_bytes, Hub, Inner};
+use crate::wire::outbox::{Written, NO_BUFFER_RETRY};
+use crate::wire::socket_read::MAX_TURN_BYTES;
 use bytes::{Buf, BytesMut};
 use std::io;
 use std::net::SocketAddr;
@@ -20,22 +21,22 @@
 
 /// Bytes read at once.
 const READ_BYTES: usize = 16 * 1024;
-/// Wait after a failed accept, such as for want of descriptors.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// Count. Failed accepts of connections that wait as a planner stops to listen.
-const MOST_ACCEPT_TRIES: u32 = 100;
-/// Time between looks at whether a connection is of use still.
-const LOOK: Duration = Duration::from_millis(250);
-/// A message that is not whole so long after its first byte never will be.
-const HALF: Duration = Duration::from_millis(1500);
-/// After a message that cannot be used, so long nothing is read from its connection: at full speed such messages
-/// would take the time of usual owners.
-const PENALTY: Duration = Duration::from_millis(50);
-/// Count. Messages that cannot be used after which a connection is closed.
-const MOST_FAULTS: u32 = 16;
+/// Wait before the next accept after one that failed because a resource, such as a descriptor, ran out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Count. Failed accepts that are tolerated while a stopping planner empties the accept backlog.
+const MAX_ACCEPT_FAILURES: u32 = 100;
+/// Time between checks whether a connection is still in use.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Time limit for a complete message, from its first byte.
+const PARTIAL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Pause in reading from a connection after an invalid message: at full speed such messages would use up the
+/// processing time of well-behaved owners.
+const INVALID_PAUSE: Duration = Duration::from_millis(50);
+/// Count. Invalid messages after which a connection is closed.
+const MAX_INVALID: u32 = 16;
 
-/// Accepts owners until the planner that stops takes no more. One that finds no place is closed at once, so that it need not
-/// wait.
+/// Accepts owners until the planner stops listening. A connection beyond the limit is closed at once, so that
+/// its owner does not wait.
 pub async fn serve(hub: Arc<Hub>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
@@ -43,27 +44,27 @@
             () = hub.stop_listening.notified() => break,
         };
         match accepted {
-            Ok((stream, peer)) => take(&hub, stream, peer),
+            Ok((stream, peer)) => accept_owner(&hub, stream, peer),
             Err(error) if is_shortage(&error) => {
-                // Most likely no descriptor is left: one that is of no use is given back.
-                tracing::debug!(%error, "cannot accept");
+                // Most likely no descriptor is left: an unused connection is closed to free one.
+                tracing::debug!(%error, "cannot accept an owner: out of resources");
                 hub.lock().make_room();
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
             Err(error) => {
-                // The next one may be as good as ever.
-                tracing::debug!(%error, "cannot accept this one");
+                // The failure concerns this connection alone; the next one may succeed.
+                tracing::debug!(%error, "cannot accept an owner");
                 tokio::task::yield_now().await;
             }
         }
     }
-    if let Err(error) = take_waiting(&hub, &listener).await {
-        tracing::debug!(%error, "cannot accept what waits");
+    if let Err(error) = accept_backlog(&hub, &listener).await {
+        tracing::debug!(%error, "cannot accept the owners in the listen backlog");
     }
 }
 
-/// Serves an owner's new connection, where there is a place for it.
-fn take(hub: &Arc<Hub>, stream: TcpStream, peer: SocketAddr) {
+/// Registers a new connection of an owner and serves it, unless the limit of connections is reached.
+fn accept_owner(hub: &Arc<Hub>, stream: TcpStream, peer: SocketAddr) {
     let mut inner = hub.lock();
     let Some((id, wake)) = inner.open_owner(hub.now(), peer.ip()) else { return };
     let stream = Arc::new(stream);
@@ -73,23 +74,24 @@
     tokio::spawn(connection(hub.clone(), stream, peer, id, wake));
 }
 
-/// Takes the connections that nobody has accepted yet, as the system has them: what was sent on them is taken.
-async fn take_waiting(hub: &Arc<Hub>, listener: &TcpListener) -> io::Result<()> {
+/// Accepts the connections that wait in the listen backlog. The system has acknowledged what was sent on
+/// them, so the planner has to answer it.
+async fn accept_backlog(hub: &Arc<Hub>, listener: &TcpListener) -> io::Result<()> {
     let mut tries = 0;
     loop {
         match socket2::SockRef::from(listener).accept() {
             Ok((socket, peer)) => {
                 socket.set_nonblocking(true)?;
                 let peer = peer.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-                take(hub, TcpStream::from_std(socket.into())?, peer);
+                accept_owner(hub, TcpStream::from_std(socket.into())?, peer);
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-            Err(error) if tries >= MOST_ACCEPT_TRIES => return Err(error),
+            Err(error) if tries >= MAX_ACCEPT_FAILURES => return Err(error),
             Err(error) => {
                 tries += 1;
                 if is_shortage(&error) {
                     hub.lock().make_room();
-                    // The task that has the descriptor gives it back.
+                    // Lets the task that owns the descriptor run and close it.
                     tokio::task::yield_now().await;
                 }
             }
@@ -97,25 +99,27 @@
     }
 }
 
+/// Runs one owner's connection, and reports its end to the core.
 async fn connection(hub: Arc<Hub>, stream: Arc<TcpStream>, peer: SocketAddr, id: u64, wake: Arc<Notify>) {
     let _ = stream.set_nodelay(true);
-    if let Err(error) = talk(&hub, &stream, id, &wake).await {
-        tracing::debug!(%peer, %error, "the connection of an owner ended");
+    if let Err(error) = serve_connection(&hub, &stream, id, &wake).await {
+        tracing::debug!(%peer, %error, "connection of an owner ended");
     }
     hub.lock().close_owner(hub.now(), id);
-    // A client that closes with set-ups open has given them up.
+    // A client that closes its connection has cancelled its open set-ups.
     hub.apply(Input::OwnerGone { link: id });
 }
 
-async fn talk(hub: &Hub, stream: &TcpStream, id: u64, wake: &Notify) -> io::Result<()> {
+/// Reads and writes one connection until it ends.
+async fn serve_connection(hub: &Hub, stream: &TcpStream, id: u64, wake: &Notify) -> io::Result<()> {
     let mut buffer = BytesMut::new();
-    let mut half_since = None;
-    let mut faults = 0;
-    // Why nothing more is heard: what was open has its answer, and the answers are still to be written.
-    let mut over: Option<io::Error> = None;
+    let mut partial_since = None;
+    let mut invalid_total = 0;
+    // Why reading has stopped. The connection stays open until the answers to its open jobs are written.
+    let mut closing_error: Option<io::Error> = None;
     let mut read_from = Instant::now();
-    let mut looks = tokio::time::interval(LOOK);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut check_timer = tokio::time::interval(CHECK_INTERVAL);
+    check_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let written = {
             let mut inner = hub.lock();
@@ -126,14 +130,14 @@
             }
             written
         };
-        if written == Written::Short {
-            tokio::time::sleep(BUFFERS_AGAIN).await;
+        if written == Written::NoBuffers {
+            tokio::time::sleep(NO_BUFFER_RETRY).await;
         }
         let waits = written != Written::All;
-        if let Some(over) = over.take_if(|_| !waits) {
-            return Err(over);
+        if let Some(closing_error) = closing_error.take_if(|_| !waits) {
+            return Err(closing_error);
         }
-        let interest = match (waits, over.is_some()) {
+        let interest = match (waits, closing_error.is_some()) {
             (false, _) => Interest::READABLE,
             (true, false) => Interest::READABLE | Interest::WRITABLE,
             (true, true) => Interest::WRITABLE,
@@ -144,47 +148,48 @@
         };
         tokio::select! {
             () = wake.notified() => {}
-            _ = looks.tick() => {
-                let useless = hub.lock().useless(hub.now(), id);
-                // A request that has come, though not yet to this program, has been taken.
-                let useless = useless.filter(|_| !is_unread(stream));
-                if let Some(why) = useless {
+            _ = check_timer.tick() => {
+                let close_reason = hub.lock().close_reason(hub.now(), id);
+                // A request in the receive buffer has been acknowledged by the system, so the connection is
+                // in use.
+                let close_reason = close_reason.filter(|_| !has_unread_bytes(stream));
+                if let Some(why) = close_reason {
                     return Err(io::Error::other(why));
                 }
-                if half_since.is_some_and(|since: Instant| since.elapsed() > HALF) {
-                    half_since = None;
-                    over = Some(hear_no_more(hub, id, io::Error::other("half a message")));
+                if partial_since.is_some_and(|since: Instant| since.elapsed() > PARTIAL_TIMEOUT) {
+                    partial_since = None;
+                    closing_error = Some(stop_reading(hub, id, io::Error::other("message incomplete")));
                 }
             }
             ready = ready => {
-                if ready?.is_readable() && over.is_none() {
-                    let heard = match hear_all(hub, id, stream, &mut buffer) {
+                if ready?.is_readable() && closing_error.is_none() {
+                    let result = match read_all(hub, id, stream, &mut buffer) {
                         Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-                            half_since = None;
-                            over = Some(hear_no_more(hub, id, error));
+                            partial_since = None;
+                            closing_error = Some(stop_reading(hub, id, error));
                             continue;
                         }
-                        heard => heard?,
+                        result => result?,
                     };
-                    let Turn { whole, bad, ended } = heard;
-                    if ended {
+                    let ReadResult { complete, invalid, closed } = result;
+                    if closed {
                         return Ok(());
                     }
-                    if bad > 0 {
-                        faults += bad;
-                        read_from = Instant::now() + PENALTY;
+                    if invalid > 0 {
+                        invalid_total += invalid;
+                        read_from = Instant::now() + INVALID_PAUSE;
                     }
-                    if faults >= MOST_FAULTS {
-                        let many = io::Error::other("too many messages that cannot be used");
-                        over = Some(hear_no_more(hub, id, many));
+                    if invalid_total >= MAX_INVALID {
+                        let many = io::Error::other("too many invalid messages");
+                        closing_error = Some(stop_reading(hub, id, many));
                     }
-                    half_since = match buffer.is_empty() {
+                    partial_since = match buffer.is_empty() {
                         true => None,
-                        false if whole > 0 => Some(Instant::now()),
-                        false => half_since.or_else(|| Some(Instant::now())),
+                        false if complete > 0 => Some(Instant::now()),
+                        false => partial_since.or_else(|| Some(Instant::now())),
                     };
                     if let Some(link) = hub.lock().owners.get_mut(&id) {
-                        link.half_at = (!buffer.is_empty()).then(|| hub.now());
+                        link.partial_at = (!buffer.is_empty()).then(|| hub.now());
                     }
                     if buffer.is_empty() {
                         buffer = BytesMut::new(); // Idle connections keep no memory.
@@ -195,84 +200,90 @@
     }
 }
 
-/// Nothing more is heard on a connection, for that reason; what was asked on it before is answered all the same.
-fn hear_no_more(hub: &Hub, id: u64, why: io::Error) -> io::Error {
+/// Stops reading from a connection for the reason `why`, which is returned; open jobs of the connection are
+/// still answered.
+fn stop_reading(hub: &Hub, id: u64, why: io::Error) -> io::Error {
     hub.apply(Input::OwnerFaulty { link: id });
     why
 }
 
-/// What one look at a connection brought.
+/// The result of reading a connection in one turn.
 #[derive(Default)]
-struct Turn {
-    /// Count. Whole messages.
-    whole: u32,
-    /// Count. Those of them that cannot be used.
-    bad: u32,
-    /// Its client closed it.
-    ended: bool,
+struct ReadResult {
+    /// Count. Complete messages.
+    complete: u32,
+    /// Count. Invalid ones among them.
+    invalid: u32,
+    /// The client closed the connection.
+    closed: bool,
 }
 
-/// Takes all that has come on a connection before anything of it leaves for a machine: were part of it left unread, what the
-/// rest asks for would begin though the client's end stands behind it.
-fn hear_all(hub: &Hub, id: u64, stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<Turn> {
-    let (mut turn, mut read) = (Turn::default(), 0);
-    while read < TURN_BYTES && turn.bad < MOST_FAULTS {
+/// Reads everything that has arrived on a connection before any of its jobs is sent to a machine. If part
+/// were left unread, an attempt could begin although the client's close is already in the receive buffer.
+fn read_all(hub: &Hub, id: u64, stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<ReadResult> {
+    let (mut read_result, mut read) = (ReadResult::default(), 0);
+    while read < MAX_TURN_BYTES && read_result.invalid < MAX_INVALID {
         buffer.reserve(READ_BYTES);
         match stream.try_read_buf(buffer) {
             Ok(0) => {
-                turn.ended = true;
+                read_result.closed = true;
                 break;
             }
             Ok(count) => {
                 read += count;
-                let (whole, bad) = hear(hub, id, buffer)?;
-                turn.whole += whole;
-                turn.bad += bad;
+                let (complete, invalid) = process_messages(hub, id, buffer)?;
+                read_result.complete += complete;
+                read_result.invalid += invalid;
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                hub.lock().client_heard(hub.now(), id);
+                hub.lock().client_drained(hub.now(), id);
                 break;
             }
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            // The socket is as readable as before.
+            // The socket stays readable, so the next turn reads it again.
             Err(error) if is_shortage(&error) => break,
             Err(error) => return Err(error),
         }
     }
-    Ok(turn)
+    Ok(read_result)
 }
 
-/// Takes all whole messages that have come; tells how many, and how many of them cannot be used.
-fn hear(hub: &Hub, id: u64, buffer: &mut BytesMut) -> io::Result<(u32, u32)> {
-    let (mut whole, mut bad) = (0, 0);
+/// Processes all complete messages in the buffer; returns how many there were, and how many of them were
+/// invalid.
+fn process_messages(hub: &Hub, id: u64, buffer: &mut BytesMut) -> io::Result<(u32, u32)> {
+    let (mut complete, mut invalid) = (0, 0);
     let mut inner = hub.lock();
     loop {
         let framing = |e: Malformed| io::Error::new(io::ErrorKind::InvalidData, e.to_string());
-        let Some((length, message)) = owner::take(buffer).map_err(framing)? else { return Ok((whole, bad)) };
-        whole += 1;
-        if let Err(error) = message_from(hub, &mut inner, id, &message) {
-            // The frame is whole, so the connection goes on; a set-up still gets its one answer.
-            tracing::debug!(kind = message.kind, %error, "a message of an owner cannot be used");
-            bad += 1;
+        let Some((length, message)) = owner::take(buffer).map_err(framing)? else {
+            return Ok((complete, invalid));
+        };
+        complete += 1;
+        if let Err(error) = apply_message(hub, &mut inner, id, &message) {
+            // The framing is intact, so the connection stays open; an invalid set-up still gets its one
+            // answer.
+            tracing::debug!(kind = message.kind, %error, "invalid message from an owner");
+            invalid += 1;
             if message.kind == kind::SET_UP {
-                inner.say(hub.now(), id, owner::release(message.task, cause::UNREADABLE, None));
+                inner.reply(hub.now(), id, owner::release(message.task, cause::UNREADABLE, None));
             }
         }
         buffer.advance(length);
-        if bad >= MOST_FAULTS {
+        if invalid >= MAX_INVALID {
             buffer.clear();
-            return Ok((whole, bad));
+            return Ok((complete, invalid));
         }
     }
 }
 
-fn message_from(hub: &Hub, inner: &mut Inner, id: u64, message: &Message<'_>) -> Result<(), Malformed> {
+/// Applies one message of an owner.
+fn apply_message(hub: &Hub, inner: &mut Inner, id: u64, message: &Message<'_>) -> Result<(), Malformed> {
     let job = RequestId(message.task);
     let now = hub.now();
     match message.kind {
         kind::SET_UP => {
-            let came_at = hub.came_at(inner, id);
-            let input = request(&mut inner.core, came_at, id, message)?;
+            let earliest_arrival = hub.earliest_arrival(inner, id);
+            let input = request(&mut inner.core, earliest_arrival, id, message)?;
             if let Some(link) = inner.owners.get_mut(&id) {
                 link.used = now;
             }
@@ -284,15 +295,15 @@
         }
         kind::TEST => {
             let passed = !inner.draining;
-            inner.say(now, id, owner::tested(message.task, passed));
+            inner.reply(now, id, owner::tested(message.task, passed));
         }
-        kind::PROGRESS | kind::RELEASE_HEARD | kind::NOTE | kind::MOVE | kind::TESTED => {}
+        kind::PROGRESS | kind::RELEASE_ACK | kind::NOTE | kind::MOVE | kind::TESTED => {}
         _ => return Err(Malformed::Value("type")),
     }
     Ok(())
 }
 
-/// A set-up as an input, where it is one that can be taken.
+/// Turns a set-up into an input of the core, or returns why it is invalid.
 pub(crate) fn request(
     core: &mut Core,
     now: Seconds,
@@ -304,7 +315,7 @@
     let at = set_up.at.clone();
     let class = core.words().class(&set_up.class).ok_or(Malformed::Value("class"))?;
     let ask = ask(job, link, now, class, set_up);
-    // What runs already has been admitted once, and waits for nothing.
+    // A task that already runs on a machine was admitted before, and needs no admission check.
     if let Some(name) = at {
         return Ok(Input::Adopt { ask, machine: core.words().machine(&name) });
     }
@@ -315,6 +326,7 @@
     Ok(Input::Submit(ask))
 }
 
+/// The job that a set-up asks for; the deadline counts from `now`.
 fn ask(job: RequestId, link: u64, now: Seconds, class: usize, set_up: SetUp) -> Ask {
     let task = Task {
         class,
--- a/src/wire/platform/tests.rs
+++ b/src/wire/platform/tests.rs
@@ -2,7 +2,7 @@
 use crate::wire::import::access_log;
 use rand::{Rng, SeedableRng};
 
-/// Guards the program, which ends where it panics, against bytes that no peer should send.
+/// Guards against a panic, which ends the program, on malformed bytes: each reader returns an error instead.
 #[test]
 fn no_bytes_make_a_reader_panic() {
     let whole: [&[u8]; 5] = [
@@ -24,14 +24,14 @@
         bytes.truncate(rng.gen_range(0..=2 * bytes.len()));
         let set_up =
             owner::take(&bytes).map(|taken| taken.map(|(_, m)| (m.cause().is_ok(), m.set_up().is_ok())));
-        let words = [
+        let valid = [
             matches!(set_up, Ok(Some((_, true)))),
             node::read(&bytes).is_ok(),
             board::read(&bytes).is_ok(),
             !access_log::read(&bytes).0.is_empty(),
         ];
-        read += words.iter().filter(|w| **w).count();
-        refused += words.iter().filter(|w| !**w).count();
+        read += valid.iter().filter(|w| **w).count();
+        refused += valid.iter().filter(|w| !**w).count();
     }
     assert!(read > 3_000 && refused > 3_000, "both ways are taken: {read}, {refused}");
 }
--- a/src/wire/arrived/tests.rs
+++ b/src/wire/socket_read/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Both ends of a connection: the other's, and the planner's.
+/// Both ends of a connection: the peer's, and the planner's.
 async fn pair() -> (std::net::TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let peer = std::net::TcpStream::connect(listener.local_addr().expect("its address")).expect("up");
@@ -11,35 +11,35 @@
     (peer, stream)
 }
 
-/// Waits until the planner's system has so many bytes of the peer, at least; the planner itself has not looked.
-fn until_there(stream: &TcpStream, bytes: usize) {
+/// Waits until the socket holds at least so many unread bytes, without a poll by the runtime.
+fn wait_until_unread(stream: &TcpStream, bytes: usize) {
     let mut there = vec![std::mem::MaybeUninit::uninit(); bytes];
     while !matches!(socket2::SockRef::from(stream).peek(&mut there), Ok(count) if count >= bytes) {
         std::thread::yield_now();
     }
 }
 
-/// Guards answers that are the last thing before an end or a reset: they are read with it, though the runtime was not
-/// asked whether there is anything to read.
+/// Guards answers that arrive right before a close or a reset: they are read together with it, although the
+/// runtime has not polled the socket.
 #[tokio::test]
 async fn what_came_before_an_end_is_read_with_it() {
     for reset in [false, true] {
         let (mut peer, stream) = pair().await;
         let mut buffer = BytesMut::new();
-        assert!(matches!(read_arrived(&stream, &mut buffer), Reached::Open));
-        peer.write_all(&[b'x'; 3 * PART_BYTES]).expect("written");
-        until_there(&stream, 3 * PART_BYTES);
+        assert!(matches!(read_available(&stream, &mut buffer), ReadState::Open));
+        peer.write_all(&[b'x'; 3 * CHUNK_BYTES]).expect("written");
+        wait_until_unread(&stream, 3 * CHUNK_BYTES);
         if reset {
             socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).expect("a reset");
         }
         drop(peer);
-        let reached = loop {
-            match read_arrived(&stream, &mut buffer) {
-                Reached::Open => std::thread::yield_now(),
+        let read_state = loop {
+            match read_available(&stream, &mut buffer) {
+                ReadState::Open => std::thread::yield_now(),
                 other => break other,
             }
         };
-        assert_eq!(matches!(reached, Reached::Broken(_)), reset, "{reached:?}");
-        assert_eq!(buffer.len(), 3 * PART_BYTES);
+        assert_eq!(matches!(read_state, ReadState::Broken(_)), reset, "{read_state:?}");
+        assert_eq!(buffer.len(), 3 * CHUNK_BYTES);
     }
 }
--- a/src/wire/trail.rs
+++ b/src/wire/trail.rs
@@ -1,5 +1,6 @@
-//! The trail of a job through this planner: one debug line for each thing heard of it and done about it. Read with
-//! `BURLHOOK_LOG=burlhook::trail=debug`, and by the job's id (16 hex digits) through all planners that touched it.
+//! The trace of a job through this planner: one debug event for each input and each effect that concerns it.
+//! Enable it with `BURLHOOK_LOG=burlhook::trail=debug`; the job's id (16 hex digits) is the same in the logs
+//! of all planners involved.
 
 use super::platform::node::uid;
 use crate::placer::{ListKind, MachineId, Standing};
@@ -7,17 +8,17 @@
 
 const TARGET: &str = "burlhook::trail";
 
-/// Whether anybody reads the trail.
+/// Whether the trail is enabled.
 pub fn is_on() -> bool {
     tracing::enabled!(target: TARGET, tracing::Level::DEBUG)
 }
 
-/// What was heard.
+/// Logs an input.
 pub fn heard(core: &Core, input: &Input) {
     let name = |machine: &MachineId| core.name(*machine);
     match input {
         Input::List { kind, notices } => {
-            // A whole list would push everything else out of a log of bounded size.
+            // The entries of a whole list would displace everything else from a log of limited size.
             if *kind != ListKind::Changes {
                 tracing::debug!(target: TARGET, machines = notices.len(), ?kind, "whole list");
             }
@@ -65,7 +66,7 @@
     }
 }
 
-/// What is done about it.
+/// Logs an effect.
 pub fn done(core: &Core, effect: &Effect) {
     let name = |machine: &MachineId| core.name(*machine);
     match effect {
