--- a/src/wire/hub.rs
+++ b/src/wire/hub.rs
@@ -184,14 +184,14 @@
         let before = inner.core.next_alarm();
         let mut effects = std::mem::take(&mut inner.effects);
         let now = self.now();
-        let trail = trail::is_on();
+        let trail = trail::is_enabled();
         if trail {
-            trail::heard(&inner.core, &input);
+            trail::log_input(&inner.core, &input);
         }
         inner.core.apply(now, input, &mut effects);
         for effect in effects.drain(..) {
             if trail {
-                trail::done(&inner.core, &effect);
+                trail::log_effect(&inner.core, &effect);
             }
             if effect == Effect::Changed {
                 self.changes.send_modify(|count| *count += 1);
--- a/src/wire/hub/held/tests.rs
+++ b/src/wire/hub/held/tests.rs
@@ -12,7 +12,7 @@
 /// Guards against a memory leak and against loss: a set-up that is cancelled or released is removed, and the
 /// others stay.
 #[test]
-fn what_is_held_no_more_leaves_nothing() {
+fn withdrawn_and_taken_set_ups_are_removed() {
     let mut all = HeldSetUps::default();
     [(1, 10), (2, 20), (1, 11)].into_iter().for_each(|(client, job)| all.push(held(client, job)));
     assert!(all.withdraw(MachineId(1), RequestId(10)) && !all.withdraw(MachineId(1), RequestId(10)));
--- a/src/wire/hub/machine_connections/tests.rs
+++ b/src/wire/hub/machine_connections/tests.rs
@@ -56,17 +56,17 @@
 
 const NOTHING: (bool, bool) = (false, false);
 const TO_WRITE: (bool, bool) = (true, false);
-const FOR_A_LOOK: (bool, bool) = (false, true);
+const TO_CHECK: (bool, bool) = (false, true);
 
 #[tokio::test]
-async fn nothing_calls_for_a_look_at_an_idle_connection() {
+async fn an_idle_connection_needs_no_check() {
     let hub = hub(2, 2);
     assert_eq!(hub.lock().open_on(MachineId(0), None), Open::default());
     assert_eq!(wakes(&hub, MachineId(0)).await, NOTHING);
 }
 
 #[tokio::test]
-async fn a_test_that_goes_out_wakes_its_connection() {
+async fn a_health_check_wakes_its_connection() {
     let (hub, now) = (hub(2, 2), 100.0);
     hub.lock().carry_out(now, Effect::Probe { machine: MachineId(0) });
     assert_eq!(hub.lock().open_on(MachineId(0), None), Open { test_since: Some(now), ..Open::default() });
@@ -75,10 +75,10 @@
 
 /// A client reports a running task, so the report arrives on another connection than the machine's.
 #[tokio::test]
-async fn the_first_task_that_is_taken_over_wakes_its_machines_connection() {
+async fn the_first_adopted_task_wakes_its_machines_connection() {
     let hub = hub(2, 2);
     let machine = MachineId(0);
-    for (job, woken) in [(1, FOR_A_LOOK), (2, NOTHING)] {
+    for (job, woken) in [(1, TO_CHECK), (2, NOTHING)] {
         let ask = ask(&hub, job);
         hub.apply(Input::Adopt { ask, machine });
         assert!(hub.lock().open_on(machine, None).holds_tasks);
@@ -91,12 +91,12 @@
     wakes(&hub, machine).await;
     let ask = ask(&hub, 3);
     hub.apply(Input::Adopt { ask, machine });
-    assert_eq!(wakes(&hub, machine).await, FOR_A_LOOK, "the first again");
+    assert_eq!(wakes(&hub, machine).await, TO_CHECK, "the first again");
 }
 
 /// The machine may report the start of a task on a connection that has been replaced.
 #[tokio::test]
-async fn the_first_task_that_is_placed_wakes_its_machines_connection() {
+async fn the_first_placed_task_wakes_its_machines_connection() {
     let hub = hub(1, 1);
     let (machine, job) = (MachineId(0), RequestId(1));
     let ask = ask(&hub, job.0);
@@ -106,20 +106,20 @@
     assert!(!hub.lock().open_on(machine, None).holds_tasks);
     hub.apply(Input::Bound { machine, job, body: String::new() });
     assert!(hub.lock().open_on(machine, None).holds_tasks);
-    assert_eq!(wakes(&hub, machine).await, FOR_A_LOOK);
+    assert_eq!(wakes(&hub, machine).await, TO_CHECK);
 }
 
 /// A connection that is in use may become idle later, so all links with a place start to check for that;
 /// being woken for the check does not count as a use of the connection.
 #[tokio::test]
-async fn the_first_machine_that_waits_for_a_place_wakes_all_that_hold_one() {
+async fn the_first_machine_in_line_for_a_place_wakes_all_place_holders() {
     let (hub, now) = (hub(4, 2), 100.0);
     let [first, second, third, fourth] = [0, 1, 2, 3].map(MachineId);
     assert!(hub.lock().want_place(now, first, Need::Spare));
     assert!(hub.lock().want_place(now, second, Need::Spare));
     assert!(!hub.lock().want_place(now, third, Need::Spare), "an unneeded connection does not queue");
     assert_eq!(wakes(&hub, first).await, NOTHING);
-    for woken in [FOR_A_LOOK, NOTHING] {
+    for woken in [TO_CHECK, NOTHING] {
         assert!(!hub.lock().want_place(now, third, Need::Now));
         assert!(hub.lock().open_on(first, None).is_short);
         for machine in [first, second] {
--- a/src/wire/hub/tests.rs
+++ b/src/wire/hub/tests.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// A hub with a machine and a job whose set-up is queued for it; the job's deadline is `patience_s` away.
-fn hub_with_queued_job(effect: &str, patience_s: Seconds) -> (Arc<Hub>, MachineId, u64) {
+/// A hub with a machine and a job whose set-up is queued for it; the job's deadline is `deadline_in_s` away.
+fn hub_with_queued_job(effect: &str, deadline_in_s: Seconds) -> (Arc<Hub>, MachineId, u64) {
     let (hub, _wanted) = Hub::new(
         core(effect),
         Bounds { owners: 9, owner_queue: 4096, box_queue: 4096, links: 9 },
@@ -47,7 +47,7 @@
     hub.apply(Input::List { kind: ListKind::Changes, notices: vec![notice] });
     let owner = open_owner_connection(&mut hub.lock(), 100.0).expect("a place");
     let room = Room { cores: 1.0, memory: 1.0 };
-    let (class, service, deadline) = (0, ServiceId(1), hub.now() + patience_s);
+    let (class, service, deadline) = (0, ServiceId(1), hub.now() + deadline_in_s);
     let limits = TaskLimits::default();
     let task = Task { class, tenant: None, service, room, deadline, life_s: None, limits };
     let spec = Arc::new(Spec { class: "c".into(), body: "x".into(), ..Spec::default() });
@@ -58,25 +58,26 @@
 /// Guards rule 2: a set-up that was written, completely or in part, before its connection broke during the
 /// same write may have run. A task that must run at most once fails then, and is not retried.
 #[test]
-fn what_left_before_an_error_may_have_run() {
+fn a_partly_written_set_up_counts_as_sent() {
     for taken in [0, 10, 1 << 20] {
         let (hub, name, owner) = hub_with_queued_job("once", 5.0);
         let link_id = hub.lock().machine_links[&name].link_id;
-        let broke = hub.flush_to_machine((name, link_id, "a:1"), &FailingSink(taken.into()), &mut Vec::new());
+        let written =
+            hub.flush_to_machine((name, link_id, "a:1"), &FailingSink(taken.into()), &mut Vec::new());
         // After a complete write the error shows only at the next write.
-        assert_eq!(broke.is_err(), taken < 1 << 20);
+        assert_eq!(written.is_err(), taken < 1 << 20);
         hub.lock().machine_links.get_mut(&name).expect("a link").outbox.reset();
         hub.apply(Input::LinkBroken { machine: name, proved: true });
         let waits = !hub.lock().machine_links[&name].outbox.is_empty();
         let answered = !hub.lock().owners[&owner].outbox.is_empty();
-        assert_eq!((waits, answered), (taken == 0, taken > 0), "{taken} bytes left");
+        assert_eq!((waits, answered), (taken == 0, taken > 0), "{taken} bytes written");
     }
 }
 
 /// Guards machines and the fleet's budgets against a process that was suspended between decision and write: a
 /// set-up past its deadline is not written, although its alarm has not run yet.
 #[test]
-fn what_is_past_its_time_is_not_written() {
+fn an_expired_set_up_is_not_written() {
     let (hub, name, owner) = hub_with_queued_job("repeatable", 0.1);
     let link_id = hub.lock().machine_links[&name].link_id;
     assert!(!hub.lock().machine_links[&name].outbox.is_empty(), "it is queued");
@@ -90,7 +91,7 @@
 /// Guards ends of running tasks against a connection that closes before they are written: they go to another
 /// connection of the same owner, or to the next one that is opened.
 #[test]
-fn an_end_that_was_not_written_goes_elsewhere() {
+fn an_unwritten_task_end_goes_to_another_connection() {
     for other in [true, false] {
         let hub = hub(9);
         let mut inner = hub.lock();
@@ -107,7 +108,7 @@
 /// Guards a request that has arrived but is not read yet: its connection is not closed to make room for
 /// another, although no job is open on it.
 #[tokio::test]
-async fn what_came_unread_keeps_its_connection() {
+async fn a_connection_with_unread_bytes_is_not_closed() {
     let hub = hub(1);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let mut client = std::net::TcpStream::connect(listener.local_addr().expect("its address")).expect("up");
@@ -127,7 +128,7 @@
 
 /// Guards descriptors against owners that stay connected but are silent, idle, or do not read their answers.
 #[test]
-fn a_connection_of_no_use_is_told_apart() {
+fn silent_idle_and_blocked_connections_are_closed() {
     let hub = hub(9);
     let mut inner = hub.lock();
     let ids: Vec<u64> = (0..3).filter_map(|_| open_owner_connection(&mut inner, 100.0)).collect();
@@ -144,7 +145,7 @@
 
 /// Guards connections with open answers: at the limit of connections they are not closed to make room.
 #[test]
-fn only_what_is_of_no_use_makes_room() {
+fn a_connection_with_open_answers_is_not_closed_to_make_room() {
     let hub = hub(2);
     let mut inner = hub.lock();
     let first = open_owner_connection(&mut inner, 100.0).expect("a place");
@@ -172,7 +173,7 @@
 /// Guards machines against an outdated deadline: a set-up that was queued states the time that is left when
 /// it is written.
 #[test]
-fn a_set_up_that_waited_tells_what_is_left_of_its_time() {
+fn a_queued_set_up_states_the_remaining_time() {
     let (hub, name, _) = hub_with_queued_job("repeatable", 1.0);
     let link_id = hub.lock().machine_links[&name].link_id;
     std::thread::sleep(Duration::from_millis(250));
@@ -186,7 +187,7 @@
 /// Guards against work for a client that has closed its connection: no attempt begins while the close is
 /// unread.
 #[tokio::test]
-async fn no_attempt_leaves_for_a_client_whose_end_has_come_unread() {
+async fn no_attempt_starts_while_the_close_of_its_client_is_unread() {
     let (hub, name, owner) = hub_with_queued_job("repeatable", 5.0);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = std::net::TcpStream::connect(listener.local_addr().expect("its address")).expect("up");
@@ -213,7 +214,7 @@
 /// Guards a request that is arriving while its planner stops: the planner waits for the rest of it, for a
 /// limited time.
 #[test]
-fn a_planner_that_has_half_a_request_is_not_quiet() {
+fn a_partial_request_delays_the_stop() {
     let hub = hub(9);
     let mut inner = hub.lock();
     let client = open_owner_connection(&mut inner, 100.0).expect("a place");
@@ -223,10 +224,11 @@
     assert!(inner.is_quiet(100.2));
 }
 
-/// Guards machines against a late request that was unread while its planner was busy: its time counts from
-/// its earliest possible arrival, which is never before the connection was last read to the end.
+/// Guards against a deadline that is too late, for a request that was unread while the planner was busy: its
+/// time counts from its earliest possible arrival, which is never before the connection was last read to the
+/// end.
 #[test]
-fn a_request_that_lay_unread_counts_from_when_it_may_have_come() {
+fn an_unread_request_counts_from_its_earliest_arrival() {
     let hub = hub(9);
     let mut inner = hub.lock();
     let client = open_owner_connection(&mut inner, hub.now()).expect("a place");
--- a/src/wire/hub/turns/tests.rs
+++ b/src/wire/hub/turns/tests.rs
@@ -7,7 +7,7 @@
 /// Guards the arrival time of requests: one that arrives while the planner is busy counts from the start of
 /// that turn, and one that wakes the planner counts from the wake-up.
 #[test]
-fn what_comes_during_a_turn_counts_from_its_beginning() {
+fn a_request_during_a_turn_counts_from_its_start() {
     let turns = Turns::default();
     assert_eq!(unread_since(&turns), None);
     turns.park_at(10.0);
--- a/src/wire/outbox.rs
+++ b/src/wire/outbox.rs
@@ -106,9 +106,10 @@
         }
         // A release goes to the machine first, after a message that is partly written and after earlier
         // releases.
-        let begun = usize::from(self.written > 0);
-        let others = self.messages.iter().skip(begun).take_while(|p| p.tag == Tag::ResendToMachine).count();
-        self.messages.insert(begun + others, message);
+        let partly_written = usize::from(self.written > 0);
+        let others =
+            self.messages.iter().skip(partly_written).take_while(|m| m.tag == Tag::ResendToMachine).count();
+        self.messages.insert(partly_written + others, message);
         true
     }
 
@@ -117,35 +118,39 @@
     }
 
     /// Whether a set-up is queued of which nothing has been written.
-    pub fn has_set_up(&self) -> bool {
+    pub fn has_unsent_set_up(&self) -> bool {
         self.unsent().next().is_some()
     }
 
     /// The jobs of the queued set-ups of which nothing has been written.
     pub fn unsent(&self) -> impl Iterator<Item = RequestId> + '_ {
-        let begun = usize::from(self.written > 0);
-        self.messages.iter().skip(begun).filter_map(|p| p.set_up.as_ref()).map(|(set_up, _)| set_up.job)
+        let partly_written = usize::from(self.written > 0);
+        self.messages
+            .iter()
+            .skip(partly_written)
+            .filter_map(|m| m.set_up.as_ref())
+            .map(|(set_up, _)| set_up.job)
     }
 
     /// Removes and returns a set-up of which nothing has been written.
     pub fn remove_set_up(&mut self, job: RequestId) -> Option<SetUp> {
-        let begun = usize::from(self.written > 0);
-        let is_it = |p: &QueuedMessage| p.set_up.as_ref().is_some_and(|(set_up, _)| set_up.job == job);
-        let at = self.messages.iter().skip(begun).position(is_it)?;
-        let message = self.messages.remove(begun + at)?;
+        let partly_written = usize::from(self.written > 0);
+        let is_it = |m: &QueuedMessage| m.set_up.as_ref().is_some_and(|(set_up, _)| set_up.job == job);
+        let at = self.messages.iter().skip(partly_written).position(is_it)?;
+        let message = self.messages.remove(partly_written + at)?;
         self.bytes -= message.bytes.len();
         message.set_up.map(|(set_up, _)| set_up)
     }
 
     /// Encodes unwritten set-ups again, so that they state the time that is left now.
     pub fn reencode_set_ups(&mut self, now: Seconds) {
-        let begun = usize::from(self.written > 0);
-        for message in self.messages.iter_mut().skip(begun) {
-            let Some((set_up, made_at)) = &mut message.set_up else { continue };
-            if now - *made_at < REENCODE_AFTER_S {
+        let partly_written = usize::from(self.written > 0);
+        for message in self.messages.iter_mut().skip(partly_written) {
+            let Some((set_up, encoded_at)) = &mut message.set_up else { continue };
+            if now - *encoded_at < REENCODE_AFTER_S {
                 continue;
             }
-            *made_at = now;
+            *encoded_at = now;
             self.bytes -= message.bytes.len();
             message.bytes = set_up.lines(now);
             self.bytes += message.bytes.len();
@@ -161,7 +166,7 @@
     /// incomplete.
     pub fn write_final(&mut self, stream: &impl Sink) -> io::Result<()> {
         let partial_set_up =
-            self.written > 0 && self.messages.front().is_some_and(|p| matches!(p.tag, Tag::Launch(..)));
+            self.written > 0 && self.messages.front().is_some_and(|m| matches!(m.tag, Tag::Launch(..)));
         if partial_set_up {
             return Ok(());
         }
@@ -172,19 +177,19 @@
     /// connection, a partly written one included.
     pub fn take_reroutable(&mut self) -> Vec<Vec<u8>> {
         (self.written, self.bytes) = (0, 0);
-        let due = self.messages.drain(..).filter(|p| p.tag == Tag::Reroute);
-        due.map(|p| p.bytes).collect()
+        let reroutable = self.messages.drain(..).filter(|m| m.tag == Tag::Reroute);
+        reroutable.map(|m| m.bytes).collect()
     }
 
     /// Prepares the queue for the next connection after this one broke: drops messages that were meant for it
     /// alone, and a partly written one unless it is to be sent again in full.
     pub fn reset(&mut self) {
-        if self.written > 0 && self.messages.front().is_some_and(|p| p.tag != Tag::ResendToMachine) {
+        if self.written > 0 && self.messages.front().is_some_and(|m| m.tag != Tag::ResendToMachine) {
             self.messages.pop_front();
         }
         self.written = 0;
-        self.messages.retain(|p| p.tag != Tag::Plain);
-        self.bytes = self.messages.iter().map(|p| p.bytes.len()).sum();
+        self.messages.retain(|m| m.tag != Tag::Plain);
+        self.bytes = self.messages.iter().map(|m| m.bytes.len()).sum();
     }
 
     /// Writes what the socket takes now. Adds to `sent` the set-ups whose first byte was written, also if an
@@ -196,10 +201,10 @@
     ) -> io::Result<Written> {
         while !self.messages.is_empty() {
             let mut from = self.written;
-            let rest = |p: &'_ QueuedMessage| std::mem::take(&mut from)..p.bytes.len();
+            let rest = |m: &'_ QueuedMessage| std::mem::take(&mut from)..m.bytes.len();
             let ranges: Vec<_> = self.messages.iter().take(MAX_COALESCED).map(rest).collect();
             let slices: Vec<IoSlice<'_>> =
-                self.messages.iter().zip(ranges).map(|(p, range)| IoSlice::new(&p.bytes[range])).collect();
+                self.messages.iter().zip(ranges).map(|(m, range)| IoSlice::new(&m.bytes[range])).collect();
             match stream.try_write_vectored(&slices) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => self.advance(count, sent),
--- a/src/wire/outbox/tests.rs
+++ b/src/wire/outbox/tests.rs
@@ -16,7 +16,7 @@
 /// Guards queued messages against a write that a signal interrupts or that finds no buffer: the connection is
 /// still usable, and a later write sends the messages.
 #[test]
-fn a_write_that_is_interrupted_or_finds_no_buffer_goes_on_later() {
+fn an_interrupted_or_unbuffered_write_is_retried() {
     for (code, name) in [(4, "EINTR"), (105, "ENOBUFS"), (12, "ENOMEM")] {
         let mut outbox = Outbox::new(100);
         assert!(outbox.push(vec![0; 10], Tag::Plain));
--- a/src/wire/platform/machine_links.rs
+++ b/src/wire/platform/machine_links.rs
@@ -294,7 +294,7 @@
         let mut timer = pin!(sleep(Duration::ZERO));
         loop {
             *signs = watch.signs();
-            if self.has_set_up() {
+            if self.has_unsent_set_up() {
                 // Reads whatever has arrived before a set-up is written, so that no attempt is written to a
                 // connection that the machine has closed already: the attempt never ran, and is written to
                 // the next connection.
@@ -343,7 +343,10 @@
                     check_at = None;
                     let open = self.hub.lock().open_on(self.machine, half_line_since);
                     if open.is_line_lost(now) {
-                        return Err(io::Error::new(io::ErrorKind::TimedOut, "line incomplete"));
+                        return Err(io::Error::new(
+                            io::ErrorKind::TimedOut,
+                            "the rest of a line did not arrive in time",
+                        ));
                     }
                     if open.is_short {
                         self.hub.lock().reclaim_places(now);
@@ -438,12 +441,12 @@
     }
 
     /// Whether a set-up is queued of which nothing has been written.
-    fn has_set_up(&self) -> bool {
+    fn has_unsent_set_up(&self) -> bool {
         let inner = self.hub.lock();
         inner
             .machine_links
             .get(&self.machine)
-            .is_some_and(|l| l.link_id == self.link_id && l.outbox.has_set_up())
+            .is_some_and(|l| l.link_id == self.link_id && l.outbox.has_unsent_set_up())
     }
 
     /// Processes the lines received on the current connection, and updates its watch.
--- a/src/wire/platform/owners.rs
+++ b/src/wire/platform/owners.rs
@@ -158,7 +158,11 @@
                 }
                 if partial_since.is_some_and(|since: Instant| since.elapsed() > PARTIAL_TIMEOUT) {
                     partial_since = None;
-                    closing_error = Some(stop_reading(hub, id, io::Error::other("message incomplete")));
+                    closing_error = Some(stop_reading(
+                        hub,
+                        id,
+                        io::Error::other("the rest of a message did not arrive in time"),
+                    ));
                 }
             }
             ready = ready => {
--- a/src/wire/platform/tests.rs
+++ b/src/wire/platform/tests.rs
@@ -5,7 +5,7 @@
 /// Guards against a panic, which ends the program, on malformed bytes: each reader returns an error instead.
 #[test]
 fn no_bytes_make_a_reader_panic() {
-    let whole: [&[u8]; 5] = [
+    let valid_inputs: [&[u8]; 5] = [
         b"\x00\x5f\x01\x00\x00\x00\x00\x00\x00\x00\x01\x03\x00\x09stateless\x04\x00\x045000\x07\x00\x01c\x08\x00)cores:1;\
 memory:2;service:00000000000000aa\x12\x00\x10GET /run there\r\n",
         br#"{"kind":"stop","uid":"0000000000000001","meta":{"note":"nq","load":"x0:1;x1:2"},"reason":34}"#,
@@ -16,7 +16,7 @@
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
     let (mut read, mut refused) = (0, 0);
     for round in 0..20_000 {
-        let mut bytes = whole[round % whole.len()].to_vec();
+        let mut bytes = valid_inputs[round % valid_inputs.len()].to_vec();
         for _ in 0..rng.gen_range(0..4) {
             let at = rng.gen_range(0..bytes.len());
             bytes[at] = rng.gen();
--- a/src/wire/read_buffers/tests.rs
+++ b/src/wire/read_buffers/tests.rs
@@ -3,7 +3,7 @@
 
 /// Guards memory: consecutive reads share one buffer, also if each consumes a part of its capacity.
 #[test]
-fn reads_in_turn_share_one_buffer() {
+fn consecutive_reads_share_one_buffer() {
     let buffers = ReadBuffers::default();
     for _ in 0..100 {
         let mut buffer = buffers.lend();
--- a/src/wire/socket_read/tests.rs
+++ b/src/wire/socket_read/tests.rs
@@ -4,7 +4,7 @@
 use tokio::net::TcpListener;
 
 /// Both ends of a connection: the peer's, and the planner's.
-async fn pair() -> (std::net::TcpStream, TcpStream) {
+async fn connected_pair() -> (std::net::TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let peer = std::net::TcpStream::connect(listener.local_addr().expect("its address")).expect("up");
     let (stream, _) = listener.accept().await.expect("a connection");
@@ -13,8 +13,8 @@
 
 /// Waits until the socket holds at least so many unread bytes, without a poll by the runtime.
 fn wait_until_unread(stream: &TcpStream, bytes: usize) {
-    let mut there = vec![std::mem::MaybeUninit::uninit(); bytes];
-    while !matches!(socket2::SockRef::from(stream).peek(&mut there), Ok(count) if count >= bytes) {
+    let mut unread = vec![std::mem::MaybeUninit::uninit(); bytes];
+    while !matches!(socket2::SockRef::from(stream).peek(&mut unread), Ok(count) if count >= bytes) {
         std::thread::yield_now();
     }
 }
@@ -22,9 +22,9 @@
 /// Guards answers that arrive right before a close or a reset: they are read together with it, although the
 /// runtime has not polled the socket.
 #[tokio::test]
-async fn what_came_before_an_end_is_read_with_it() {
+async fn bytes_before_a_close_are_read_with_it() {
     for reset in [false, true] {
-        let (mut peer, stream) = pair().await;
+        let (mut peer, stream) = connected_pair().await;
         let mut buffer = BytesMut::new();
         assert!(matches!(read_available(&stream, &mut buffer), ReadState::Open));
         peer.write_all(&[b'x'; 3 * CHUNK_BYTES]).expect("written");
--- a/src/wire/trail.rs
+++ b/src/wire/trail.rs
@@ -9,12 +9,12 @@
 const TARGET: &str = "burlhook::trail";
 
 /// Whether the trail is enabled.
-pub fn is_on() -> bool {
+pub fn is_enabled() -> bool {
     tracing::enabled!(target: TARGET, tracing::Level::DEBUG)
 }
 
 /// Logs an input.
-pub fn heard(core: &Core, input: &Input) {
+pub fn log_input(core: &Core, input: &Input) {
     let name = |machine: &MachineId| core.name(*machine);
     match input {
         Input::List { kind, notices } => {
@@ -67,7 +67,7 @@
 }
 
 /// Logs an effect.
-pub fn done(core: &Core, effect: &Effect) {
+pub fn log_effect(core: &Core, effect: &Effect) {
     let name = |machine: &MachineId| core.name(*machine);
     match effect {
         Effect::Launch { machine, job, attempt, left_s, .. } => {
