--- a/src/wire/platform/machine_list.rs
+++ b/src/wire/platform/machine_list.rs
@@ -133,9 +133,9 @@
 }
 
 /// Applies an event of the list to the hub, or the persisted list as such.
-pub fn take_in(hub: &Hub, event: &Event, telling: Telling) {
+pub fn take_in(hub: &Hub, event: &Event, timing: Telling) {
     let mut inner = hub.lock();
     let (event_kind, notices) = event.notices(inner.core.words());
-    let kind = if telling == Telling::Kept { ListKind::Persisted } else { event_kind };
-    hub.apply_list(&mut inner, kind, notices, telling == Telling::Live);
+    let kind = if timing == Telling::Kept { ListKind::Persisted } else { event_kind };
+    hub.apply_list(&mut inner, kind, notices, timing == Telling::Live);
 }
--- a/src/wire/platform/node.rs
+++ b/src/wire/platform/node.rs
@@ -25,21 +25,29 @@
 
 /// Cause codes of releases.
 pub mod cause {
+    /// The task has ended, or its attempt is no longer needed.
     pub const OVER: u8 = 16;
+    /// The task was cancelled.
     pub const CANCELLED: u8 = 31;
+    /// There is no room for the task.
     pub const FULL: u8 = 34;
+    /// The task did not end with success, or was lost.
     pub const RESET: u8 = 41;
+    /// The planner is overloaded, or a limit is reached.
     pub const BUSY: u8 = 42;
+    /// The attempt failed.
     pub const ERROR: u8 = 47;
+    /// The set-up is invalid.
     pub const UNREADABLE: u8 = 100;
+    /// The task never started: its attempt was not sent, or its deadline has passed.
     pub const MOOT: u8 = 102;
 }
 
 /// Why a line is not a message.
 #[derive(Debug, Error)]
 pub enum Malformed {
-    /// The line is too long.
-    #[error("line longer than {MAX_LINE_BYTES} bytes")]
+    /// The line is longer than the caller allows.
+    #[error("line too long")]
     Long,
     /// The line is not the JSON of a message.
     #[error("invalid message: {0}")]
@@ -237,7 +245,7 @@
     pub attempt: AttemptNo,
     /// When the planner stops waiting for its answer.
     pub until: Seconds,
-    /// The number of the proof check that is written right before it, if any.
+    /// The number of the check with [`PROOF`] that is written right before it, if any.
     pub fence: Option<u64>,
     pub spec: Arc<Spec>,
 }
--- a/src/wire/platform/owner.rs
+++ b/src/wire/platform/owner.rs
@@ -1,7 +1,8 @@
 //! Encoding and decoding of the binary messages exchanged with owners (the clients of jobs); pure functions
 //! on bytes.
 //!
-//! A set-up asks the planner to start a task; a release ends one, or reports a refusal, a failure or an end.
+//! With a set-up an owner asks the planner to start a task. A release cancels or ends a task, or reports a
+//! refusal or a failure.
 //!
 //! `length:2 type:1 task:8 parameters`, each parameter `code:1 length:2 value`, big-endian.
 
@@ -19,14 +20,23 @@
 
 /// Message types.
 pub mod kind {
+    /// A request to start a task.
     pub const SET_UP: u8 = 1;
+    /// Accepted and ignored.
     pub const PROGRESS: u8 = 6;
+    /// The answer that a task was placed.
     pub const ANSWER: u8 = 9;
+    /// A refusal, a failure, a cancellation, or the end of a task.
     pub const RELEASE: u8 = 12;
+    /// Accepted and ignored.
     pub const RELEASE_ACK: u8 = 16;
+    /// Accepted and ignored.
     pub const NOTE: u8 = 44;
+    /// Accepted and ignored.
     pub const MOVE: u8 = 51;
+    /// A health check.
     pub const TEST: u8 = 52;
+    /// The answer to a health check.
     pub const TESTED: u8 = 53;
 }
 
@@ -71,6 +81,7 @@
 #[derive(Debug, PartialEq)]
 pub struct SetUp {
     pub class: String,
+    /// How long the owner waits for the answer.
     pub wait_ms: u64,
     pub name: String,
     pub key: Option<String>,
--- a/src/wire/platform/owners.rs
+++ b/src/wire/platform/owners.rs
@@ -25,7 +25,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Count. Failed accepts that are tolerated while a stopping planner empties the accept backlog.
 const MAX_ACCEPT_FAILURES: u32 = 100;
-/// Time between checks whether a connection is still in use.
+/// Time between two checks whether a connection is still in use.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time limit for a complete message, from its first byte.
 const PARTIAL_TIMEOUT: Duration = Duration::from_millis(1500);
