--- a/src/wire/platform/mod.rs
+++ b/src/wire/platform/mod.rs
@@ -4,14 +4,14 @@
 //! Nothing here sends datagrams to peers: by design each planner counts only its own placements.
 
 pub mod board;
-mod machine_links;
-mod machine_list;
+mod boxes;
+mod lists;
 pub mod node;
 pub mod owner;
 pub mod owners;
 
-pub use machine_links::hold_links;
-pub use machine_list::{follow, take_in, Source, Telling};
+pub use boxes::hold_links;
+pub use lists::{follow, take_in, Source, Telling};
 pub use owners::serve;
 
 #[cfg(test)]
