--- a/src/wire/platform/boxes.rs
+++ b/src/wire/platform/boxes.rs
@@ -1,22 +1,23 @@
-//! One long-lived connection to each box, and the watch over boxes that fall silent.
+//! Keeps one long-lived connection to each machine: dials and redials it, writes what is queued for the
+//! machine, applies what it sends, and watches machines that fall silent.
 
 mod dial;
 mod end;
 
-use self::dial::{dial, DialBeside, Dialled, Dialling};
+use self::dial::{dial, DialBeside, Dialled, PendingDial};
 use self::end::{half_close, End};
-use super::node::{self, take_line, Says, PROOF};
+use super::node::{self, take_line, MachineMessage, PROOF};
 use crate::decide::links::{Need, VISIT_S};
 use crate::decide::silence::looks::{Looks, LOOK_EVERY_S};
 use crate::decide::silence::{is_lost, Dial, Signs, Step, Watch};
 use crate::decide::spread::Draws;
 use crate::placer::*;
 use crate::state::Input;
-use crate::wire::arrived::{read_arrived, Reached};
 use crate::wire::errors::is_transient;
-use crate::wire::hub::{seconds, Hub};
-use crate::wire::outbox::{Written, BUFFERS_AGAIN};
+use crate::wire::hub::{to_duration, Hub};
+use crate::wire::outbox::{Written, NO_BUFFER_RETRY};
 use crate::wire::read_buffers::READ_BYTES;
+use crate::wire::socket_read::{read_available, ReadState};
 use bytes::{Buf, BytesMut};
 use std::io;
 use std::pin::pin;
@@ -27,30 +28,32 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, timeout};
 
-/// What a box still says on a connection whose place another took is heard for so long at most.
-const HEAR_OUT: Duration = Duration::from_millis(2000);
-/// A connection that ends so soon after it came up is not dialled anew at once.
-const SHORT: Duration = Duration::from_millis(50);
-/// Waits between dials: the first, and the longest.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1000));
-/// After a connection broke, the next dial comes within so long where nothing waits for it.
-const BROKEN: Duration = Duration::from_millis(250);
-/// The first dials to machines for which nothing waits are spread over so long: all that the list names at once, by all
-/// planners that start or hear of them at once.
-const FIRST: Duration = Duration::from_millis(1000);
+/// How long a connection that was replaced by a newer one is still read, until the machine closes it.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(2000);
+/// A connection that ends this soon after it came up counts as short-lived: the next dial waits for the
+/// back-off.
+const SHORT_LIVED: Duration = Duration::from_millis(50);
+/// Back-off between dials: the first delay, and the longest.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1000));
+/// After a connection broke, the next dial is spread at random over this time, unless a set-up waits for it.
+const REDIAL_SPREAD: Duration = Duration::from_millis(250);
+/// The first dial to a machine is spread at random over this time, unless something waits to be written:
+/// otherwise all planners that start, or receive a list, at the same time would dial every machine on it at
+/// once.
+const FIRST_DIAL_SPREAD: Duration = Duration::from_millis(1000);
 
-/// Starts a task for every machine that is to be connected.
+/// Starts a connection task for each machine that the hub wants connected; `dial` limits the time of a dial.
 pub async fn hold_links(
     hub: Arc<Hub>,
     mut wanted: mpsc::UnboundedReceiver<(MachineId, u64)>,
     dial: Duration,
 ) {
-    while let Some((machine, life)) = wanted.recv().await {
-        tokio::spawn(Link { hub: hub.clone(), machine, life, dial }.hold());
+    while let Some((machine, link_id)) = wanted.recv().await {
+        tokio::spawn(LinkTask { hub: hub.clone(), machine, link_id, dial }.run());
     }
 }
 
-/// Waits for so long, or until something is to be written.
+/// Waits for `span`, or until `wake` is notified, which means that something is to be written.
 async fn woken_within(wake: &Notify, span: Duration) {
     tokio::select! {
         () = sleep(span) => {}
@@ -58,192 +61,208 @@
     }
 }
 
-/// What a connection leaves to be heard when it ends.
+/// What is still to be processed when a connection ends.
 #[derive(Default)]
-struct Unheard {
-    /// What was read of it and is no whole line yet.
+struct Unprocessed {
+    /// Bytes that were read and do not form a complete line yet.
     buffer: BytesMut,
-    /// The dial beside it that is under way.
+    /// The dial to the same machine that runs beside the connection, if any.
     beside: DialBeside,
 }
 
-/// What wakes the task of a connection.
-struct Wakes {
-    /// Something waits to be written, or the connection is to end.
+/// The signals that wake the task of a connection.
+struct WakeSignals {
+    /// Something is to be written, or the connection is to be closed.
     write: Arc<Notify>,
-    /// Something began for which the connection is looked at.
-    look: Arc<Notify>,
+    /// Something began that the periodic check of the connection has to observe.
+    check: Arc<Notify>,
 }
 
+/// The task that keeps the connection to one machine.
 #[derive(Clone)]
-struct Link {
+struct LinkTask {
     hub: Arc<Hub>,
     machine: MachineId,
-    life: u64,
+    link_id: u64,
     dial: Duration,
 }
 
-impl Link {
-    /// Where the machine listens, until it leaves the list.
-    fn address(&self) -> Option<(String, Wakes)> {
+impl LinkTask {
+    /// The address of the machine and the wake signals of its link; none once the machine has left the list.
+    fn address(&self) -> Option<(String, WakeSignals)> {
         let inner = self.hub.lock();
-        let link = inner.nodes.get(&self.machine).filter(|l| l.life == self.life);
-        link.map(|l| (l.address.clone(), Wakes { write: l.wake.clone(), look: l.look.clone() }))
+        let link = inner.machine_links.get(&self.machine).filter(|l| l.link_id == self.link_id);
+        link.map(|l| (l.address.clone(), WakeSignals { write: l.wake.clone(), check: l.check_wake.clone() }))
     }
 
-    fn tell(&self, input: Input) {
+    fn send_input(&self, input: Input) {
         self.hub.apply(input);
     }
 
-    /// Books whether dials reach the machine, and tells how many no dial reaches now.
-    fn is_silent(&self, silent: bool) -> usize {
+    /// Records whether the machine leaves dials unanswered; returns how many machines do so now.
+    fn record_unreachable(&self, silent: bool) -> usize {
         let mut inner = self.hub.lock();
-        if silent && inner.nodes.contains_key(&self.machine) {
-            inner.silent.insert(self.machine);
+        if silent && inner.machine_links.contains_key(&self.machine) {
+            inner.unreachable.insert(self.machine);
         } else {
-            inner.silent.remove(&self.machine);
+            inner.unreachable.remove(&self.machine);
         }
-        inner.silent.len()
+        inner.unreachable.len()
     }
 
-    /// Fails a probe that is out.
+    /// Fails the probe that is in flight, if any.
     fn fail_probe(&self, outcome: Outcome) {
-        let probe = self.hub.lock().nodes.get_mut(&self.machine).and_then(|l| l.probe.take());
+        let probe = self.hub.lock().machine_links.get_mut(&self.machine).and_then(|l| l.probe.take());
         if probe.is_some() {
-            self.tell(Input::Probed { machine: self.machine, outcome, report: None });
+            self.send_input(Input::Probed { machine: self.machine, outcome, report: None });
         }
     }
 
-    async fn hold(self) {
+    async fn run(self) {
         let machine = self.machine;
-        let mut draws = Draws::new(self.hub.seed(), self.life);
-        let (mut wait, mut signs, mut reset) = (AGAIN.0, Signs::new(self.hub.now()), false);
-        let mut swapped = None;
+        let mut draws = Draws::new(self.hub.seed(), self.link_id);
+        let (mut wait, mut signs, mut after_reset) = (RETRY_DELAYS.0, Signs::new(self.hub.now()), false);
+        let mut replacement = None;
         if let Some((_, wakes)) = self.address() {
-            // A set-up that waits does not wait for this.
-            woken_within(&wakes.write, draws.part(FIRST)).await;
+            // A queued set-up wakes the task and ends this wait.
+            woken_within(&wakes.write, draws.part(FIRST_DIAL_SPREAD)).await;
         }
-        let mut given_back = None;
+        let mut given_back_at = None;
         while let Some((address, wakes)) = self.address() {
             let wake = &wakes.write;
-            if !self.has_place(wake, &mut draws, given_back).await {
+            if !self.acquire_place(wake, &mut draws, given_back_at).await {
                 continue;
             }
-            let dialled = match swapped.take() {
+            let dialled = match replacement.take() {
                 Some(stream) => Dialled::Up(stream),
                 None => dial(address.clone(), self.dial).await,
             };
             if !matches!(dialled, Dialled::Up(_)) && self.address().is_none() {
-                break; // What the dial says is of a machine that left, and no word of one that is back under its name.
+                // The machine left the list during the dial. The result must not count against a machine that
+                // has come back under the same name.
+                break;
             }
-            let short = matches!(dialled, Dialled::Short);
+            let was_short_of_resources = matches!(dialled, Dialled::NoResources);
             match dialled {
                 Dialled::Up(stream) => {
                     let up = Instant::now();
-                    self.is_silent(false);
+                    self.record_unreachable(false);
                     let _ = stream.set_nodelay(true);
-                    self.tell(Input::LinkUp { machine });
-                    let mut unheard = Unheard::default();
-                    let end =
-                        self.talk(&stream, &address, &wakes, &mut draws, &mut unheard, &mut signs).await;
-                    let Unheard { buffer, mut beside } = unheard;
-                    if let Some(dialling) = beside.take() {
-                        tokio::spawn(self.clone().hear_out_dialled(dialling));
+                    self.send_input(Input::LinkUp { machine });
+                    let mut unprocessed = Unprocessed::default();
+                    let end = self
+                        .serve_connection(&stream, &address, &wakes, &mut draws, &mut unprocessed, &mut signs)
+                        .await;
+                    let Unprocessed { buffer, mut beside } = unprocessed;
+                    if let Some(pending_dial) = beside.take() {
+                        tokio::spawn(self.clone().drain_dialled(pending_dial));
                     }
                     let end = match end {
                         Ok(End::Swap(other)) => {
-                            swapped = Some(other);
-                            tokio::spawn(self.clone().hear_out(stream, buffer));
+                            replacement = Some(other);
+                            tokio::spawn(self.clone().drain(stream, buffer));
                             continue;
                         }
                         Ok(End::GivenBack) => {
-                            // Nothing is open on it. The place is free once the descriptor is.
-                            self.clone().hear_out(stream, buffer).await;
-                            given_back = Some(self.hub.now());
-                            self.hub.lock().yield_place(self.hub.now(), machine);
+                            // Nothing is open on it. The place is released after the descriptor has been
+                            // closed.
+                            self.clone().drain(stream, buffer).await;
+                            given_back_at = Some(self.hub.now());
+                            self.hub.lock().release_place(self.hub.now(), machine);
                             continue;
                         }
                         other => other,
                     };
-                    reset = matches!(&end, Err(error) if error.kind() == io::ErrorKind::ConnectionReset);
-                    // Its end gives up what is open on it, and only then may that go elsewhere.
-                    let proved = self.bring_to_end(&stream, buffer, &end).await;
+                    after_reset =
+                        matches!(&end, Err(error) if error.kind() == io::ErrorKind::ConnectionReset);
+                    // Closing the connection cancels the attempts open on it; only then may they be retried
+                    // elsewhere.
+                    let proved = self.finish(&stream, buffer, &end).await;
                     if let Err(error) = &end {
-                        tracing::debug!(machine = machine.0, %error, proved, "the connection to a box broke");
+                        tracing::debug!(machine = machine.0, %error, proved, "connection to a machine broke");
                     }
                     self.hub.lock().counts.unproved_ends += u64::from(!proved);
                     if end.is_err() || !proved {
-                        // What lies in the socket must not reach a box that comes back.
+                        // Discards unsent bytes in the socket, so that they cannot reach the machine later.
                         let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     }
                     drop(stream);
                     if self.address().is_none() {
-                        // It left the list; should it be back already, that is another's to tell of.
-                        return self.tell_departed(proved);
+                        // The machine left the list. If it is listed again, its new link reports on it.
+                        return self.report_departed(proved);
                     }
-                    if let Some(link) = self.hub.lock().nodes.get_mut(&machine) {
+                    if let Some(link) = self.hub.lock().machine_links.get_mut(&machine) {
                         link.outbox.reset();
                     }
                     self.fail_probe(Outcome::Lost);
-                    self.tell(Input::LinkBroken { machine, proved });
-                    if up.elapsed() > SHORT {
-                        wait = AGAIN.0;
-                        // What broke it may have broken the connections of all planners. A set-up does not wait.
+                    self.send_input(Input::LinkBroken { machine, proved });
+                    if up.elapsed() > SHORT_LIVED {
+                        wait = RETRY_DELAYS.0;
+                        // The cause may have broken the connections of all planners at once, so the redial is
+                        // spread at random. A set-up does not wait.
                         if self.hub.lock().need(machine) != Need::Now {
-                            woken_within(wake, draws.part(BROKEN)).await;
+                            woken_within(wake, draws.part(REDIAL_SPREAD)).await;
                         }
                         continue;
                     }
                 }
                 Dialled::Refused => {
                     signs.silent_dials = 0;
-                    self.is_silent(false);
-                    // A reset before it tells a process that died from one that drains and takes nobody new.
-                    self.tell(if reset {
+                    self.record_unreachable(false);
+                    // A reset followed by a refusal means that the process died. A refusal alone may be a
+                    // process that drains and accepts no new connections.
+                    self.send_input(if after_reset {
                         Input::MachineLost { machine, proved: true }
                     } else {
                         let quiet_s = self.hub.now() - signs.told;
                         Input::DialRefused { machine, quiet_s }
                     });
                 }
-                Dialled::Short => {
-                    // What waits stays; a place that is of no use is given back for it.
-                    tracing::debug!(machine = machine.0, "no descriptor, port or buffer is left for a box");
+                Dialled::NoResources => {
+                    // The queue is kept; an unused owner connection is closed to free resources.
+                    tracing::debug!(
+                        machine = machine.0,
+                        "no descriptor, port or buffer left to dial a machine"
+                    );
                     self.hub.lock().make_room();
                 }
                 Dialled::Silent => {
                     signs.silent_dials += 1;
-                    self.tell(Input::DialFailed { machine });
-                    if is_lost(signs.silent_dials, self.hub.now() - signs.sign, self.is_silent(true)) {
-                        self.tell(Input::MachineLost { machine, proved: false });
+                    self.send_input(Input::DialFailed { machine });
+                    if is_lost(signs.silent_dials, self.hub.now() - signs.sign, self.record_unreachable(true))
+                    {
+                        self.send_input(Input::MachineLost { machine, proved: false });
                     }
                 }
             }
-            if !short {
+            if !was_short_of_resources {
                 self.fail_probe(Outcome::ConnectFailed);
             }
             {
-                // One that cannot be reached keeps nobody's place while it waits.
+                // An unreachable machine does not occupy a place during its back-off while others wait for
+                // one.
                 let mut inner = self.hub.lock();
                 if inner.places.is_short() {
-                    inner.yield_place(self.hub.now(), machine);
+                    inner.release_place(self.hub.now(), machine);
                 }
             }
-            // Whatever it is that resets new connections must not have the planner dial without end.
+            // The back-off keeps the planner from dialling in a tight loop where each new connection is
+            // reset.
             woken_within(wake, draws.half(wait)).await;
-            wait = (wait * 2).min(AGAIN.1);
+            wait = (wait * 2).min(RETRY_DELAYS.1);
         }
-        // No connection is up, and nothing is out on one.
-        self.tell_departed(true);
+        // No connection is up, so no attempt can be open on one.
+        self.report_departed(true);
     }
 
-    /// Whether there is a place for the connection. Where there is none, waits until there may be one: at once where
-    /// something is to be written, after a while where tasks stand.
-    async fn has_place(&self, wake: &Notify, draws: &mut Draws, given_back: Option<Seconds>) -> bool {
+    /// Whether the connection has a place among the limited number of connections. If not, waits until there
+    /// may be one: the task is woken once a place is free or something is to be written, and asks again after
+    /// [`VISIT_S`] otherwise, because a machine with running tasks has to be visited regularly.
+    async fn acquire_place(&self, wake: &Notify, draws: &mut Draws, given_back_at: Option<Seconds>) -> bool {
         let (wait, had) = {
             let mut inner = self.hub.lock();
             let (now, need) = (self.hub.now(), inner.need(self.machine));
-            let visit_in = given_back.map_or(0.0, |at| at + VISIT_S - now);
+            let visit_in = given_back_at.map_or(0.0, |at| at + VISIT_S - now);
             if need == Need::Visit && visit_in > 0.0 && !inner.places.is_held(self.machine) {
                 (visit_in * (0.75 + 0.25 * draws.draw()), false)
             } else {
@@ -251,80 +270,86 @@
             }
         };
         if !had {
-            woken_within(wake, seconds(wait)).await;
+            woken_within(wake, to_duration(wait)).await;
         }
         had
     }
 
-    /// Speaks on one connection until it ends, or until another that came up takes its place; keeps when its box last
-    /// showed a sign, and how many dials in a row came to nothing since.
-    async fn talk(
+    /// Reads and writes one connection until it ends or a newer one replaces it. Keeps `signs` up to date:
+    /// when the machine last gave a sign of life, and how many dials in a row have failed since.
+    async fn serve_connection(
         &self,
         stream: &TcpStream,
         address: &str,
-        wakes: &Wakes,
+        wakes: &WakeSignals,
         draws: &mut Draws,
-        unheard: &mut Unheard,
+        unprocessed: &mut Unprocessed,
         signs: &mut Signs,
     ) -> io::Result<End> {
-        let Unheard { buffer, beside } = unheard;
+        let Unprocessed { buffer, beside } = unprocessed;
         let mut watch = Watch::new(self.hub.now());
-        let (mut left, mut half_line_since) = (Vec::new(), None::<Seconds>);
-        let mut looks = Looks::new(self.hub.now() + LOOK_EVERY_S * draws.draw());
-        let mut look_at = None;
+        let (mut sent, mut half_line_since) = (Vec::new(), None::<Seconds>);
+        let mut checks = Looks::new(self.hub.now() + LOOK_EVERY_S * draws.draw());
+        let mut check_at = None;
         let mut timer = pin!(sleep(Duration::ZERO));
         loop {
             *signs = watch.signs();
-            if self.has_set_up() {
-                // What the machine said before it closed the connection is heard, and no attempt leaves on one that is closed:
-                // it never ran, and goes on the next.
-                let unheard = buffer.len();
-                let reached = read_arrived(stream, buffer);
-                if buffer.len() > unheard {
-                    self.hear_of(buffer, &mut watch, &mut half_line_since)?;
+            if self.has_unsent_set_up() {
+                // Reads whatever has arrived before a set-up is written, so that no attempt is written to a
+                // connection that the machine has closed already: the attempt never ran, and is written to
+                // the next connection.
+                let unprocessed = buffer.len();
+                let read_state = read_available(stream, buffer);
+                if buffer.len() > unprocessed {
+                    self.receive(buffer, &mut watch, &mut half_line_since)?;
                 }
-                match reached {
-                    Reached::Open => {}
-                    Reached::End => return Ok(End::Closed),
-                    Reached::Broken(error) => return Err(error),
+                match read_state {
+                    ReadState::Open => {}
+                    ReadState::End => return Ok(End::Closed),
+                    ReadState::Broken(error) => return Err(error),
                 }
             }
-            let at = (self.machine, self.life, address);
-            let Some(written) = self.hub.write_out(at, stream, &mut left)? else { return Ok(End::Left) };
-            if written == Written::Short {
-                sleep(BUFFERS_AGAIN).await;
+            let at = (self.machine, self.link_id, address);
+            let Some(written) = self.hub.flush_to_machine(at, stream, &mut sent)? else {
+                return Ok(End::Left);
+            };
+            if written == Written::NoBuffers {
+                sleep(NO_BUFFER_RETRY).await;
             }
             let open = {
                 let mut inner = self.hub.lock();
-                if inner.is_asked_back(self.hub.now(), self.machine) {
+                if inner.must_give_back(self.hub.now(), self.machine) {
                     return Ok(End::GivenBack);
                 }
                 inner.open_on(self.machine, half_line_since)
             };
-            let planned = looks.plan(self.hub.now(), open.due(&watch));
-            if planned != look_at {
+            let planned = checks.plan(self.hub.now(), open.due(&watch));
+            if planned != check_at {
                 if let Some(at) = planned {
-                    timer.as_mut().reset(tokio::time::Instant::now() + seconds(at - self.hub.now()));
+                    timer.as_mut().reset(tokio::time::Instant::now() + to_duration(at - self.hub.now()));
                 }
-                look_at = planned;
+                check_at = planned;
             }
             let interest = match written {
                 Written::All => Interest::READABLE,
-                Written::Blocked | Written::Short => Interest::READABLE | Interest::WRITABLE,
+                Written::Blocked | Written::NoBuffers => Interest::READABLE | Interest::WRITABLE,
             };
             tokio::select! {
                 () = wakes.write.notified() => self.hub.lock().places.used(self.hub.now(), self.machine),
-                () = wakes.look.notified() => {}
-                () = &mut timer, if look_at.is_some() => {
+                () = wakes.check.notified() => {}
+                () = &mut timer, if check_at.is_some() => {
                     let now = self.hub.now();
-                    looks.looked(now);
-                    look_at = None;
+                    checks.looked(now);
+                    check_at = None;
                     let open = self.hub.lock().open_on(self.machine, half_line_since);
                     if open.is_line_lost(now) {
-                        return Err(io::Error::new(io::ErrorKind::TimedOut, "half a line"));
+                        return Err(io::Error::new(
+                            io::ErrorKind::TimedOut,
+                            "the rest of a line did not arrive in time",
+                        ));
                     }
                     if open.is_short {
-                        self.hub.lock().press(now);
+                        self.hub.lock().reclaim_places(now);
                     }
                     if open.is_test_late(now) {
                         self.fail_probe(Outcome::TimedOut);
@@ -332,7 +357,7 @@
                     match watch.look(now, open.holds_tasks, draws.draw()) {
                         Step::Dial => beside.begin(address, self.dial),
                         step => {
-                            if let Some(end) = self.take_step(step, None, &watch, signs)? {
+                            if let Some(end) = self.apply_step(step, None, &watch, signs)? {
                                 return Ok(end);
                             }
                         }
@@ -341,11 +366,11 @@
                 dialled = beside.ended() => {
                     let dial = dialled.kind();
                     if dial != Dial::Short {
-                        self.is_silent(dial == Dial::Silent);
+                        self.record_unreachable(dial == Dial::Silent);
                     }
                     let is_open = self.hub.lock().is_open_at(self.machine);
                     let step = watch.dialled(self.hub.now(), dial, is_open);
-                    if let Some(end) = self.take_step(step, dialled.up(), &watch, signs)? {
+                    if let Some(end) = self.apply_step(step, dialled.up(), &watch, signs)? {
                         return Ok(end);
                     }
                 }
@@ -358,7 +383,7 @@
                         }
                         match stream.try_read_buf(buffer) {
                             Ok(0) => return Ok(End::Closed),
-                            Ok(_) => self.hear_of(buffer, &mut watch, &mut half_line_since)?,
+                            Ok(_) => self.receive(buffer, &mut watch, &mut half_line_since)?,
                             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                             Err(error) if is_transient(&error) => {}
                             Err(error) => return Err(error),
@@ -372,8 +397,9 @@
         }
     }
 
-    /// Does what is due about a silent connection, with the one that came up beside it; tells how this one ends, should it.
-    fn take_step(
+    /// Carries out a step that the watch over a silent connection asked for; `other` is the connection that a
+    /// dial beside it has brought up. Returns how the current connection ends, if it does.
+    fn apply_step(
         &self,
         step: Step,
         other: Option<TcpStream>,
@@ -385,90 +411,101 @@
             Step::Swap => return Ok(Some(other.map_or(End::Closed, End::Swap))),
             Step::HearOut => {
                 if let Some(other) = other {
-                    tokio::spawn(self.clone().hear_out(other, BytesMut::new()));
+                    tokio::spawn(self.clone().drain(other, BytesMut::new()));
                 }
             }
-            Step::Nudge => self.hub.lock().nudge_node(self.machine),
-            Step::Lost => self.tell(Input::MachineLost { machine: self.machine, proved: false }),
+            Step::Nudge => self.hub.lock().nudge_machine(self.machine),
+            Step::Lost => self.send_input(Input::MachineLost { machine: self.machine, proved: false }),
             Step::Close => {
                 *signs = watch.signs();
-                // What is out there is given up with the connection; what stands may be waited for.
+                // The open attempts are given up with the connection; running tasks may be waited for.
                 let (dials, quiet_s) = (signs.silent_dials, self.hub.now() - signs.sign);
-                if dials > 0 && is_lost(dials, quiet_s, self.is_silent(true)) {
-                    self.tell(Input::MachineLost { machine: self.machine, proved: false });
+                if dials > 0 && is_lost(dials, quiet_s, self.record_unreachable(true)) {
+                    self.send_input(Input::MachineLost { machine: self.machine, proved: false });
                 }
-                return Err(io::Error::new(io::ErrorKind::TimedOut, "it brings nothing any more"));
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    "the machine is silent: connection closed",
+                ));
             }
         }
         Ok(None)
     }
 
-    /// Hears out the connection of a dial whose purpose is gone, should it come up: what a box owes comes on it.
-    async fn hear_out_dialled(self, dialling: Dialling) {
-        if let Dialled::Up(stream) = dialling.await {
-            self.hear_out(stream, BytesMut::new()).await;
+    /// Drains the connection of a dial that is no longer needed, if it comes up: a machine sends outstanding
+    /// messages on each new connection, and they must not be lost.
+    async fn drain_dialled(self, pending_dial: PendingDial) {
+        if let Dialled::Up(stream) = pending_dial.await {
+            self.drain(stream, BytesMut::new()).await;
         }
     }
 
-    /// Whether a set-up waits to leave.
-    fn has_set_up(&self) -> bool {
+    /// Whether a set-up is queued of which nothing has been written.
+    fn has_unsent_set_up(&self) -> bool {
         let inner = self.hub.lock();
-        inner.nodes.get(&self.machine).is_some_and(|l| l.life == self.life && l.outbox.has_set_up())
+        inner
+            .machine_links
+            .get(&self.machine)
+            .is_some_and(|l| l.link_id == self.link_id && l.outbox.has_unsent_set_up())
     }
 
-    /// Takes what has come on the connection in use.
-    fn hear_of(
+    /// Processes the lines received on the current connection, and updates its watch.
+    fn receive(
         &self,
         buffer: &mut BytesMut,
         watch: &mut Watch,
         half_line_since: &mut Option<Seconds>,
     ) -> io::Result<()> {
         self.hub.lock().places.used(self.hub.now(), self.machine);
-        let of_task = self.hear(buffer)?;
-        watch.heard(self.hub.now(), of_task);
+        let about_task = self.process_lines(buffer)?;
+        watch.heard(self.hub.now(), about_task);
         *half_line_since = (!buffer.is_empty()).then(|| self.hub.now());
         Ok(())
     }
 
-    /// Takes what its box says on a connection beside the one in use, until the box ends it.
-    async fn hear_out(self, stream: TcpStream, mut buffer: BytesMut) {
-        // Nothing is open on it: the box sends what it owes, and closes.
-        let end = half_close(&stream, &mut buffer, |buffer| self.hear(buffer).map(drop));
-        let end = timeout(HEAR_OUT, end).await;
-        tracing::debug!(machine = self.machine.0, ?end, "the former connection to a box ended");
+    /// Processes what the machine sends on a connection other than the current one, until the machine closes
+    /// it.
+    async fn drain(self, stream: TcpStream, mut buffer: BytesMut) {
+        // No attempt is open on it: the machine sends its outstanding messages and closes it.
+        let end = half_close(&stream, &mut buffer, |buffer| self.process_lines(buffer).map(drop));
+        let end = timeout(DRAIN_TIMEOUT, end).await;
+        tracing::debug!(machine = self.machine.0, ?end, "replaced connection to a machine ended");
     }
 
-    /// Takes all whole lines that have come; tells whether one was about a task.
-    fn hear(&self, buffer: &mut BytesMut) -> io::Result<bool> {
-        let mut of_task = false;
+    /// Processes all complete lines in the buffer; returns whether one of them was about a task.
+    fn process_lines(&self, buffer: &mut BytesMut) -> io::Result<bool> {
+        let mut about_task = false;
         loop {
-            let long = |e| io::Error::new(io::ErrorKind::InvalidData, format!("{e}"));
-            let Some((length, line)) = take_line(buffer, node::MOST_BYTES).map_err(long)? else {
-                return Ok(of_task);
+            let too_long = |e| io::Error::new(io::ErrorKind::InvalidData, format!("{e}"));
+            let Some((length, line)) = take_line(buffer, node::MAX_LINE_BYTES).map_err(too_long)? else {
+                return Ok(about_task);
             };
             match node::read(line) {
-                Ok(says) => {
-                    of_task |= matches!(says, Says::Running { .. } | Says::Stopped { .. });
-                    self.take_in(says);
+                Ok(message) => {
+                    about_task |=
+                        matches!(message, MachineMessage::Running { .. } | MachineMessage::Stopped { .. });
+                    self.apply_message(message);
                 }
-                // Where one line is spoilt the next may be, too, and what it told is lost: what stands is told of
-                // again on the next connection.
+                // After one corrupt line the following ones cannot be trusted either, and its content is
+                // lost. The connection is closed: the machine reports its running tasks again on the next
+                // one.
                 Err(error) => return Err(io::Error::new(io::ErrorKind::InvalidData, error.to_string())),
             }
             buffer.advance(length);
         }
     }
 
-    fn take_in(&self, says: Says) {
+    /// Applies one message of the machine; drops the answer to a probe that has been given up.
+    fn apply_message(&self, message: MachineMessage) {
         let machine = self.machine;
         let mut inner = self.hub.lock();
-        if matches!(says, Says::Checked { number, .. } if number & PROOF == 0) {
-            let asked = inner.nodes.get_mut(&machine).and_then(|l| l.probe.take());
+        if matches!(message, MachineMessage::Checked { number, .. } if number & PROOF == 0) {
+            let asked = inner.machine_links.get_mut(&machine).and_then(|l| l.probe.take());
             if asked.is_none() {
-                return; // It came after the probe was given up.
+                return; // The probe has timed out already.
             }
         }
-        let Some(input) = says.input(machine, inner.core.words()) else { return };
+        let Some(input) = message.input(machine, inner.core.words()) else { return };
         self.hub.apply_in(&mut inner, input);
     }
 }
--- a/src/wire/platform/boxes/end.rs
+++ b/src/wire/platform/boxes/end.rs
@@ -1,8 +1,9 @@
-//! The end of a connection to a machine, and what it proves: what was open on it is given up once the machine has ended it,
-//! too. A connection that only this planner has ended may not be heard of where the network is cut.
+//! The end of a connection to a machine, and what it proves. Once the machine has closed its side as well, it
+//! has cancelled the attempts that were open on the connection. Where only this planner has closed it, the
+//! machine may not know: a network partition can keep the close from reaching it.
 
-use super::Link;
-use crate::wire::arrived::read_some;
+use super::LinkTask;
+use crate::wire::socket_read::read_some;
 use bytes::BytesMut;
 use std::io::{self, ErrorKind};
 use std::net::Shutdown;
@@ -10,34 +11,35 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// So long a machine has to end a connection that this planner has ended: as long as it has for any test.
-const MACHINE_ENDS: Duration = Duration::from_millis(1000);
+/// How long a machine has to close a connection after this planner has closed its side: the same time as for
+/// a health check.
+const MACHINE_CLOSE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How a connection ended without an error.
 pub enum End {
-    /// Its machine ended it.
+    /// The machine closed it.
     Closed,
-    /// Its machine left the list, or listens elsewhere.
+    /// The machine left the list, or its address has changed.
     Left,
-    /// Another that came up takes its place.
+    /// A newer connection to the same machine replaces it.
     Swap(TcpStream),
-    /// Its descriptor is wanted for another machine.
+    /// Its descriptor is needed for the connection to another machine.
     GivenBack,
 }
 
-/// What an error says of the far end of its connection.
+/// What an error proves about the far end of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FarEnd {
-    /// Its host knows nothing of the connection: its process ended it, or is gone.
+    /// The far host no longer has the connection: the process closed it or has died.
     Ended,
-    /// Nothing is known, and nothing more will come.
+    /// The state of the far end is unknown, and the connection cannot be used any more.
     Unknown,
-    /// The connection may be up: this planner ends it.
+    /// The connection may still be up, and this planner has to close it.
     Up,
 }
 
 impl FarEnd {
-    /// What an error of a read or write, or of this planner's own, says.
+    /// Classifies an error of a read or write, or one that this planner raised itself.
     pub fn after(error: &io::Error) -> FarEnd {
         use ErrorKind::{
             BrokenPipe, ConnectionAborted, ConnectionReset, HostUnreachable, NetworkDown, NetworkUnreachable,
@@ -48,30 +50,31 @@
             ConnectionAborted | HostUnreachable | NetworkDown | NetworkUnreachable | NotConnected => {
                 FarEnd::Unknown
             }
-            // Without a code of the system it is this planner that waited long enough.
+            // Without an OS error code it is a time-out of this planner.
             TimedOut if error.raw_os_error().is_some() => FarEnd::Unknown,
             _ => FarEnd::Up,
         }
     }
 }
 
-/// Ends a connection from this side, and has what comes heard until its machine has ended it, too, or it cannot be heard.
+/// Closes the write side of a connection, and passes what arrives to `on_data` until the machine closes it,
+/// too, or an error occurs.
 pub async fn half_close(
     stream: &TcpStream,
     buffer: &mut BytesMut,
-    mut hear: impl FnMut(&mut BytesMut) -> io::Result<()>,
+    mut on_data: impl FnMut(&mut BytesMut) -> io::Result<()>,
 ) -> io::Result<()> {
     socket2::SockRef::from(stream).shutdown(Shutdown::Write)?;
     while read_some(stream, buffer).await? > 0 {
-        hear(buffer)?;
+        on_data(buffer)?;
     }
     Ok(())
 }
 
-impl Link {
-    /// Brings a connection to its end; tells whether its machine has ended it, too, which shows that it gave up what was
-    /// open on it.
-    pub(super) async fn bring_to_end(
+impl LinkTask {
+    /// Closes a connection; returns whether the machine is known to have closed it, too, which proves that it
+    /// has cancelled the attempts that were open on it.
+    pub(super) async fn finish(
         &self,
         stream: &TcpStream,
         mut buffer: BytesMut,
@@ -85,31 +88,31 @@
         if far_end != FarEnd::Up {
             return far_end == FarEnd::Ended;
         }
-        let left = self.hub.lock().write_last(self.life, stream);
-        if !left && !self.hub.lock().core.is_open_at(self.machine) {
+        let has_left_list = self.hub.lock().write_final(self.link_id, stream);
+        if !has_left_list && !self.hub.lock().core.is_open_at(self.machine) {
             return true; // Nothing is open on it.
         }
-        // What follows a line that cannot be read is of no use.
-        let mut is_heard = !matches!(end, Err(error) if error.kind() == ErrorKind::InvalidData);
-        let hear = |buffer: &mut BytesMut| {
-            is_heard = is_heard && self.hear(buffer).is_ok();
-            if !is_heard {
+        // Nothing that follows a corrupt line can be used.
+        let mut is_intact = !matches!(end, Err(error) if error.kind() == ErrorKind::InvalidData);
+        let on_data = |buffer: &mut BytesMut| {
+            is_intact = is_intact && self.process_lines(buffer).is_ok();
+            if !is_intact {
                 buffer.clear();
             }
             Ok(())
         };
-        match timeout(MACHINE_ENDS, half_close(stream, &mut buffer, hear)).await {
+        match timeout(MACHINE_CLOSE_TIMEOUT, half_close(stream, &mut buffer, on_data)).await {
             Ok(Ok(())) => true,
             Ok(Err(error)) => FarEnd::after(&error) == FarEnd::Ended,
             Err(_) => false,
         }
     }
 
-    /// Tells that the connection to a machine that left the list has ended.
-    pub(super) fn tell_departed(&self, proved: bool) {
-        let leaving = self.hub.lock().take_leaving(self.life);
-        if let Some(leaving) = leaving {
-            self.tell(crate::state::Input::Departed { departure: leaving.departure, proved });
+    /// Reports to the core that the connection to a machine that left the list has ended.
+    pub(super) fn report_departed(&self, proved: bool) {
+        let departed = self.hub.lock().take_departed(self.link_id);
+        if let Some(departed) = departed {
+            self.send_input(crate::state::Input::Departed { departure: departed.departure, proved });
         }
     }
 }
