--- a/src/decide/budgets/books.rs
+++ b/src/decide/budgets/books.rs
@@ -1,34 +1,35 @@
-//! All budgets of a planner: what uses them here, how much each is in need, and the words that concern them.
+//! All budgets of a planner: the uses admitted here, the estimated demand for each budget, and the messages
+//! between planners that concern them.
 
 use super::share::{base, floor, Ask, Grant, Share};
-use crate::decide::fleet::{mixed, Claim, Fleet, Life, Member, Micros, Terms, Vote};
+use crate::decide::fleet::{stable_hash, Claim, Fleet, Life, Member, Micros, Terms, Vote};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Share. Weight of a new sample in the mean time that a use lasts.
-const HOLD_WEIGHT: f64 = 0.1;
-/// Share of the need that is left when a lease has gone by without any: need is felt at once and forgotten slowly, so that
-/// units do not go to and fro with each burst.
-const NEED_KEPT: f64 = 0.4;
-/// Share. Units beyond those in use that a planner wants to have at hand.
-const AT_HAND: f64 = 1.15;
+/// Weight of a new sample in the moving average of the duration of a use.
+const MEAN_USE_WEIGHT: f64 = 0.1;
+/// Share of the estimated demand that is left after one lease without any use or refusal. The estimate rises
+/// at once and decays slowly, so that units do not move back and forth with each burst.
+const DEMAND_KEPT_PER_LEASE: f64 = 0.4;
+/// Factor on the peak of units in use, so that a planner holds some units in reserve.
+const DEMAND_HEADROOM: f64 = 1.15;
 
-/// A budget, the same at every planner whose file has it.
+/// Identifies a budget; the same at every planner whose operators' file has it.
 pub type BudgetId = u64;
 
-/// What a budget bounds.
+/// What a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
-    /// Jobs taken in and not yet answered.
+    /// Jobs that were admitted and not yet answered.
     InFlight,
-    /// Jobs taken in over time.
+    /// Jobs admitted over time.
     Rate,
-    /// Further tries that no first one pays for.
+    /// Retries that are allowed beyond the share that first tries earn.
     RetryFloor,
 }
 
 impl Kind {
-    /// Its name in the operators' file.
+    /// The setting's name in the operators' file.
     pub fn word(self) -> &'static str {
         match self {
             Kind::InFlight => "inFlight",
@@ -39,38 +40,39 @@
 
     /// The budget of that kind at a place of the operators' file.
     pub fn id(self, place: &str) -> BudgetId {
-        mixed((place, self))
+        stable_hash((place, self))
     }
 }
 
-/// A budget that the operators' file has.
+/// A budget that the operators' file defines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wanted {
-    /// Its place in the file.
+    /// Its place in the operators' file.
     pub place: Arc<str>,
-    /// What it bounds.
+    /// What it limits.
     pub kind: Kind,
-    /// Units of the whole fleet.
+    /// The total of units for the whole fleet.
     pub whole: u64,
-    /// Microseconds that a use lasts where all last alike; nought where a use ends by itself.
+    /// Hold time of each use in microseconds, where it is the same for all; 0 where a use ends when it is
+    /// given back.
     pub hold: Micros,
 }
 
-/// A planner's place in its fleet and how the fleet is run, as the operators' file has it.
+/// A planner's position in its fleet and the fleet's parameters, from the operators' file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// This planner and how many there are.
+    /// The index of this planner, and the number of planners.
     pub place: (Member, Member),
-    /// Those that vote.
+    /// The planners that vote.
     pub voters: Vec<Member>,
-    /// How leases run.
+    /// Parameters of the leases.
     pub terms: Terms,
 }
 
-/// A word from one planner to another.
+/// A message from one planner to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Word {
-    /// To a voter.
+    /// To a voter: claims a slot or gives it back.
     Claim(Claim),
     /// A voter's answer.
     Vote(Vote),
@@ -80,7 +82,7 @@
     Grant(BudgetId, Grant),
 }
 
-/// A use that is given back by [`Books::give_back`].
+/// One unit that is in use, to be returned by [`Books::give_back`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Use {
     budget: BudgetId,
@@ -89,73 +91,75 @@
     since: Micros,
 }
 
-/// A budget as it stands at this planner.
+/// The state of a budget at this planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct State {
-    /// Its place in the file.
+    /// Its place in the operators' file.
     pub place: Arc<str>,
-    /// What it bounds.
+    /// What it limits.
     pub kind: Kind,
-    /// Units of the whole fleet by this planner's file, and those that hold.
+    /// The total of the whole fleet by this planner's file, and the effective total.
     pub whole: (u64, u64),
-    /// Units that may be in use here.
+    /// Units that may be in use at this planner.
     pub usable: u64,
-    /// Units in use here.
+    /// Units in use at this planner.
     pub used: u64,
-    /// Units that this planner could use.
+    /// Units that this planner could use, as estimated.
     pub demand: u64,
 }
 
-/// One budget and what uses it here.
+/// One budget and its uses at this planner.
 #[derive(Clone, Debug)]
-struct Book {
+struct Account {
     wanted: Wanted,
     share: Share,
-    /// Uses that are not over: when they will be at the latest, and their numbers.
-    ends: BTreeSet<(Micros, u64)>,
-    /// The most uses at once, and those turned away, since the last look.
+    /// Uses that have not ended: the latest end of each, and its number.
+    uses: BTreeSet<(Micros, u64)>,
+    /// The most uses at once, and the number of refusals, since the estimate was last updated.
     peak: u64,
-    turned: u64,
-    /// Microseconds that a use lasts here.
-    mean: f64,
-    need: f64,
-    looked_at: Micros,
-    /// The file has it no more; it is kept until nothing that it lent is out.
-    gone_at: Option<Micros>,
-    /// The difference to another's file was told.
-    told: bool,
+    refused: u64,
+    /// Mean duration of a use here, in microseconds.
+    mean_use_us: f64,
+    estimated_demand: f64,
+    estimated_at: Micros,
+    /// When the operators' file dropped the budget; it is kept until all its loans have expired.
+    removed_at: Option<Micros>,
+    /// The difference to another planner's file has been logged.
+    mismatch_logged: bool,
 }
 
-impl Book {
-    fn sweep(&mut self, now: Micros) {
-        while self.ends.first().is_some_and(|(end, _)| *end <= now) {
-            self.ends.pop_first();
+impl Account {
+    fn remove_expired(&mut self, now: Micros) {
+        while self.uses.first().is_some_and(|(end, _)| *end <= now) {
+            self.uses.pop_first();
         }
     }
 
-    /// Tells the share how much is in use and wanted.
-    fn tell(&mut self) {
-        let used = self.ends.len() as u64;
+    /// Reports the units in use and the demand to the share.
+    fn update_share(&mut self) {
+        let used = self.uses.len() as u64;
         self.peak = self.peak.max(used);
-        let until = self.ends.last().map_or(0, |(end, _)| *end);
-        self.share.set_need((self.need.ceil() as u64).max(used), used, until);
+        let until = self.uses.last().map_or(0, |(end, _)| *end);
+        self.share.set_need((self.estimated_demand.ceil() as u64).max(used), used, until);
     }
 
-    /// Feels the need since the last look: the uses that there were, and those that there would have been (Little's law).
-    fn look(&mut self, now: Micros, terms: &Terms) {
-        let span = now.saturating_sub(self.looked_at);
+    /// Updates the estimate of demand from the uses since the last update and those that the refused callers
+    /// would have made (Little's law).
+    fn update_estimate(&mut self, now: Micros, terms: &Terms) {
+        let span = now.saturating_sub(self.estimated_at);
         if span < terms.ask_every {
             return;
         }
-        self.looked_at = now;
-        let missed = self.turned as f64 * (self.mean / span as f64).min(1.0);
-        let fresh = if self.peak + self.turned > 0 { self.peak as f64 * AT_HAND + missed } else { 0.0 };
-        let kept = self.need * NEED_KEPT.powf(span as f64 / terms.lease as f64);
-        self.need = fresh.max(kept).min(1e15);
-        if self.need < 0.5 {
-            self.need = 0.0;
+        self.estimated_at = now;
+        let missed = self.refused as f64 * (self.mean_use_us / span as f64).min(1.0);
+        let fresh =
+            if self.peak + self.refused > 0 { self.peak as f64 * DEMAND_HEADROOM + missed } else { 0.0 };
+        let kept = self.estimated_demand * DEMAND_KEPT_PER_LEASE.powf(span as f64 / terms.lease as f64);
+        self.estimated_demand = fresh.max(kept).min(1e15);
+        if self.estimated_demand < 0.5 {
+            self.estimated_demand = 0.0;
         }
-        (self.peak, self.turned) = (self.ends.len() as u64, 0);
+        (self.peak, self.refused) = (self.uses.len() as u64, 0);
     }
 }
 
@@ -163,35 +167,36 @@
 #[derive(Clone, Debug)]
 pub struct Books {
     fleet: Fleet,
-    books: BTreeMap<BudgetId, Book>,
+    accounts: BTreeMap<BudgetId, Account>,
     started: Micros,
     number: u64,
     lines: Vec<String>,
 }
 
 impl Books {
-    /// A part in a life that begins now.
+    /// The part of an incarnation that starts at `now`.
     pub fn new(plan: &Plan, life: Life, now: Micros) -> Books {
         let fleet = Fleet::new(plan.place, life, plan.voters.clone(), plan.terms, now);
-        Books { fleet, books: BTreeMap::new(), started: now, number: 0, lines: Vec::new() }
+        Books { fleet, accounts: BTreeMap::new(), started: now, number: 0, lines: Vec::new() }
     }
 
-    /// Who is here.
+    /// The slots held and the planners heard.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The budgets that a new operators' file has. Those that it has no more stay until nothing that they lent is out.
+    /// Sets the budgets of a new operators' file. Budgets that it drops are kept until all their loans have
+    /// expired.
     pub fn set(&mut self, now: Micros, wanted: impl IntoIterator<Item = Wanted>) {
         let mut all: BTreeMap<BudgetId, Wanted> =
             wanted.into_iter().map(|w| (w.kind.id(&w.place), w)).collect();
-        for (id, book) in &mut self.books {
+        for (id, account) in &mut self.accounts {
             match all.remove(id) {
                 Some(wanted) => {
-                    book.share.set_whole(wanted.whole, wanted.hold);
-                    (book.wanted, book.gone_at, book.told) = (wanted, None, false);
+                    account.share.set_whole(wanted.whole, wanted.hold);
+                    (account.wanted, account.removed_at, account.mismatch_logged) = (wanted, None, false);
                 }
-                None => _ = book.gone_at.get_or_insert(now),
+                None => _ = account.removed_at.get_or_insert(now),
             }
         }
         let (fleet, terms) = (&self.fleet, self.fleet.terms());
@@ -200,79 +205,84 @@
             let mut share =
                 Share::new(fleet.place(), fleet.life(), (wanted.whole, id), (terms, floor), self.started);
             share.set_whole(wanted.whole, wanted.hold);
-            // As long as a use may last, where the file does not say.
-            let mean = if wanted.hold > 0 { wanted.hold as f64 } else { terms.lease as f64 / 4.0 };
-            let book = Book {
+            // An initial guess, where the operators' file sets no hold time.
+            let mean_use_us = if wanted.hold > 0 { wanted.hold as f64 } else { terms.lease as f64 / 4.0 };
+            let account = Account {
                 wanted,
                 share,
-                ends: BTreeSet::new(),
+                uses: BTreeSet::new(),
                 peak: 0,
-                turned: 0,
-                mean,
-                need: 0.0,
-                looked_at: now,
-                gone_at: None,
-                told: false,
+                refused: 0,
+                mean_use_us,
+                estimated_demand: 0.0,
+                estimated_at: now,
+                removed_at: None,
+                mismatch_logged: false,
             };
-            self.books.insert(id, book);
+            self.accounts.insert(id, account);
         }
     }
 
-    /// Takes one unit for at most so long, or tells in how many microseconds to come back.
+    /// Takes one unit for at most `lasting` microseconds; `None` where there is no such budget.
+    ///
     ///
     /// # Errors
-    /// Where no unit is to be had that long.
+    /// No unit is available for that long; the value is the number of microseconds after which to try again.
     pub fn take(&mut self, now: Micros, id: BudgetId, lasting: Micros) -> Result<Option<Use>, Micros> {
-        let Some(book) = self.books.get_mut(&id) else { return Ok(None) };
-        book.sweep(now);
-        book.tell();
-        let hold = book.share.hold(now);
-        // Over by any clock, so that a rate is kept by true time, too.
-        let lasting = if hold > 0 { self.fleet.terms().given_for(hold) } else { lasting };
-        let ground = self.fleet.ground();
-        if !book.share.admits(ground, now, lasting) {
-            book.turned += 1;
-            let usable = book.share.usable(ground, now).max(1);
-            return Err(book.share.back_in(ground, now).max((book.mean / usable as f64) as Micros));
+        let Some(account) = self.accounts.get_mut(&id) else { return Ok(None) };
+        account.remove_expired(now);
+        account.update_share();
+        let hold = account.share.hold(now);
+        // Long enough for any clock, so that a rate is kept in true time, too.
+        let lasting = if hold > 0 { self.fleet.terms().lender_span(hold) } else { lasting };
+        let leases = self.fleet.ground();
+        if !account.share.admits(leases, now, lasting) {
+            account.refused += 1;
+            let usable = account.share.usable(leases, now).max(1);
+            return Err(account
+                .share
+                .retry_in(leases, now)
+                .max((account.mean_use_us / usable as f64) as Micros));
         }
         self.number += 1;
         let until = now + lasting;
-        book.ends.insert((until, self.number));
-        book.tell();
+        account.uses.insert((until, self.number));
+        account.update_share();
         Ok(Some(Use { budget: id, until, number: self.number, since: now }))
     }
 
-    /// A use is over.
+    /// Ends a use.
     pub fn give_back(&mut self, now: Micros, used: Use) {
-        let Some(book) = self.books.get_mut(&used.budget) else { return };
-        // What a rate lent to a job comes back with time alone.
-        if book.wanted.hold == 0 && book.ends.remove(&(used.until, used.number)) {
-            book.mean += HOLD_WEIGHT * (now.saturating_sub(used.since) as f64 - book.mean);
+        let Some(account) = self.accounts.get_mut(&used.budget) else { return };
+        // A unit of a rate becomes free by the passage of time alone.
+        if account.wanted.hold == 0 && account.uses.remove(&(used.until, used.number)) {
+            account.mean_use_us +=
+                MEAN_USE_WEIGHT * (now.saturating_sub(used.since) as f64 - account.mean_use_us);
         }
-        book.sweep(now);
-        book.tell();
+        account.remove_expired(now);
+        account.update_share();
     }
 
-    /// A use that was taken is not made after all.
+    /// Cancels a use that was taken but not needed after all.
     pub fn put_back(&mut self, used: Use) {
-        if let Some(book) = self.books.get_mut(&used.budget) {
-            book.ends.remove(&(used.until, used.number));
-            book.tell();
+        if let Some(account) = self.accounts.get_mut(&used.budget) {
+            account.uses.remove(&(used.until, used.number));
+            account.update_share();
         }
     }
 
-    /// Units of its own that a budget has which is never lent; nothing in the time after a start in which an earlier life
-    /// may have used them.
+    /// Units of this planner's own base that are never lent; 0 in the grace period after a start, in which an
+    /// earlier incarnation's uses may last.
     pub fn floor(&self, now: Micros, id: BudgetId) -> u64 {
-        let Some(book) = self.books.get(&id) else { return 0 };
+        let Some(account) = self.accounts.get(&id) else { return 0 };
         let (me, members) = self.fleet.place();
-        if now < self.started + self.fleet.terms().given_for(book.wanted.hold) {
+        if now < self.started + self.fleet.terms().lender_span(account.wanted.hold) {
             return 0;
         }
-        floor(base(book.share.whole(now), members, me, id), 1000)
+        floor(base(account.share.whole(now), members, me, id), 1000)
     }
 
-    /// Takes a word in, and appends what is answered.
+    /// Processes a message and appends the answers to `out`.
     pub fn hear(
         &mut self,
         now: Micros,
@@ -280,104 +290,111 @@
         word: Word,
         out: &mut Vec<(Member, Word)>,
     ) {
-        self.fleet.note(now, from, life);
+        self.fleet.record_heard(now, from, life);
         match word {
             Word::Claim(claim) => {
-                out.extend(self.fleet.claimed(now, (from, life), claim).map(|vote| (from, Word::Vote(vote))));
+                out.extend(
+                    self.fleet.on_claim(now, (from, life), claim).map(|vote| (from, Word::Vote(vote))),
+                );
             }
-            Word::Vote(vote) => out.extend(words(self.fleet.voted(now, from, vote))),
+            Word::Vote(vote) => out.extend(claim_messages(self.fleet.on_vote(now, from, vote))),
             Word::Ask(id, ask) => {
                 let leaving = self.fleet.is_leaving();
-                let Some(book) = self.books.get_mut(&id) else { return };
-                // Who leaves, or has no such budget any more, lends nothing new.
-                if leaving || book.gone_at.is_some() || book.wanted.kind == Kind::RetryFloor {
+                let Some(account) = self.accounts.get_mut(&id) else { return };
+                // A planner that leaves, or whose file dropped the budget, grants no new loans.
+                if leaving || account.removed_at.is_some() || account.wanted.kind == Kind::RetryFloor {
                     return;
                 }
-                book.sweep(now);
-                book.tell();
-                let ground = self.fleet.ground();
-                let grant = book.share.asked(ground, now, from, ask);
+                account.remove_expired(now);
+                account.update_share();
+                let leases = self.fleet.ground();
+                let grant = account.share.on_ask(leases, now, from, ask);
                 out.extend(grant.map(|grant| (from, Word::Grant(id, grant))));
             }
             Word::Grant(id, grant) => {
-                if let Some(book) = self.books.get_mut(&id) {
-                    book.share.granted(now, from, grant);
+                if let Some(account) = self.accounts.get_mut(&id) {
+                    account.share.on_grant(now, from, grant);
                 }
             }
         }
     }
 
-    /// What is due by now; to be called each [`Terms::ask_every`] or so.
+    /// Does what is due; to be called about every [`Terms::ask_every`].
     pub fn tick(&mut self, now: Micros, out: &mut Vec<(Member, Word)>) {
         let claims = self.fleet.tick(now);
-        out.extend(words(claims));
+        out.extend(claim_messages(claims));
         let terms = self.fleet.terms();
         let lapse = terms.lender_term();
-        self.books.retain(|_, book| {
-            book.gone_at.is_none_or(|at| now < at + lapse + terms.given_for(book.wanted.hold))
+        self.accounts.retain(|_, account| {
+            account.removed_at.is_none_or(|at| now < at + lapse + terms.lender_span(account.wanted.hold))
         });
-        for (&id, book) in &mut self.books {
-            book.sweep(now);
-            book.look(now, &terms);
-            if self.fleet.is_leaving() || book.gone_at.is_some() {
-                book.need = 0.0;
+        for (&id, account) in &mut self.accounts {
+            account.remove_expired(now);
+            account.update_estimate(now, &terms);
+            if self.fleet.is_leaving() || account.removed_at.is_some() {
+                account.estimated_demand = 0.0;
             }
-            book.tell();
-            let whole = book.share.whole(now);
-            if whole < book.wanted.whole && !book.told {
-                book.told = true;
-                let (place, kind, own) = (&book.wanted.place, book.wanted.kind.word(), book.wanted.whole);
-                self.lines.push(format!("budget {place}.{kind}: another planner's file says {whole}, this one's {own}; the lower holds"));
+            account.update_share();
+            let whole = account.share.whole(now);
+            if whole < account.wanted.whole && !account.mismatch_logged {
+                account.mismatch_logged = true;
+                let (place, kind, own) =
+                    (&account.wanted.place, account.wanted.kind.word(), account.wanted.whole);
+                self.lines.push(format!(
+                    "budget {place}.{kind}: another planner's operators file sets {whole}, \
+                     this planner's sets {own}; the lower value applies"
+                ));
             }
-            if book.wanted.kind != Kind::RetryFloor {
-                let ground = self.fleet.ground();
-                let asks = book.share.tick(ground, now);
+            if account.wanted.kind != Kind::RetryFloor {
+                let leases = self.fleet.ground();
+                let asks = account.share.tick(leases, now);
                 out.extend(asks.into_iter().map(|(to, ask)| (to, Word::Ask(id, ask))));
             }
         }
-        for slot in self.fleet.giving() {
-            let ground = self.fleet.ground();
-            if self.books.values().all(|book| book.share.spares(ground, now, slot)) {
+        for slot in self.fleet.slots_to_give_back() {
+            let leases = self.fleet.ground();
+            if self.accounts.values().all(|account| account.share.can_spare(leases, now, slot)) {
                 let claims = self.fleet.give_back(now, slot);
-                out.extend(words(claims));
+                out.extend(claim_messages(claims));
             }
         }
     }
 
-    /// The planner is about to stop: from now on it claims, asks and lends nothing, and gives back what it can.
+    /// The planner is about to stop: from now on it does not claim, ask or lend, and gives back its slots as
+    /// they become unused.
     pub fn leave(&mut self) {
         self.fleet.leave();
     }
 
-    /// Lines for the log since the last call.
+    /// Log lines since the last call.
     pub fn lines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.lines)
     }
 
     /// Units that may be in use here now.
     pub fn usable(&self, now: Micros, id: BudgetId) -> u64 {
-        let Some(book) = self.books.get(&id) else { return 0 };
-        if book.wanted.kind == Kind::RetryFloor {
+        let Some(account) = self.accounts.get(&id) else { return 0 };
+        if account.wanted.kind == Kind::RetryFloor {
             return self.floor(now, id);
         }
-        let ground = self.fleet.ground();
-        book.share.usable(ground, now)
+        let leases = self.fleet.ground();
+        account.share.usable(leases, now)
     }
 
-    /// All budgets as they stand.
+    /// The state of all budgets.
     pub fn states(&self, now: Micros) -> Vec<State> {
-        let state = |(&id, book): (&BudgetId, &Book)| State {
-            place: book.wanted.place.clone(),
-            kind: book.wanted.kind,
-            whole: (book.wanted.whole, book.share.whole(now)),
+        let state = |(&id, account): (&BudgetId, &Account)| State {
+            place: account.wanted.place.clone(),
+            kind: account.wanted.kind,
+            whole: (account.wanted.whole, account.share.whole(now)),
             usable: self.usable(now, id),
-            used: book.ends.iter().filter(|(end, _)| *end > now).count() as u64,
-            demand: book.need.ceil() as u64,
+            used: account.uses.iter().filter(|(end, _)| *end > now).count() as u64,
+            demand: account.estimated_demand.ceil() as u64,
         };
-        self.books.iter().filter(|(_, book)| book.gone_at.is_none()).map(state).collect()
+        self.accounts.iter().filter(|(_, account)| account.removed_at.is_none()).map(state).collect()
     }
 }
 
-fn words(claims: Vec<(Member, Claim)>) -> impl Iterator<Item = (Member, Word)> {
+fn claim_messages(claims: Vec<(Member, Claim)>) -> impl Iterator<Item = (Member, Word)> {
     claims.into_iter().map(|(to, claim)| (to, Word::Claim(claim)))
 }
--- a/src/decide/budgets/model.rs
+++ b/src/decide/budgets/model.rs
@@ -1,38 +1,38 @@
-//! A model check of the division: two and three planners of the real code, every order of asks, grants, losses,
-//! doublings, crashes, changes of need and ticks of clocks that run apart, to a bounded depth. The property: what could
-//! be in use never exceeds the whole.
+//! A model check of the division: two and three planners run the real code. The checker tries every order of
+//! asks, grants, losses, duplicates, crashes, changes of demand and ticks of clocks that diverge, up to a
+//! bounded depth. The property: the units that could be in use never exceed the total.
 
-use super::share::{Ask, Grant, Held, Share};
+use super::share::{Ask, Borrowed, Grant, Share};
 use super::*;
-use crate::decide::fleet::{Ground, Life, Member, Micros, Terms};
+use crate::decide::fleet::{Life, Member, Micros, SlotLeases, Terms};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Word {
+enum Message {
     Ask(Ask),
     Grant(Grant),
 }
 
-/// Ticks of each planner's clock in one step of true time: they run apart by a fifth.
+/// Ticks of each planner's clock in one step of true time: the rates differ by a fifth.
 const RATES: [u64; 3] = [10, 8, 9];
 const TERMS: Terms = Terms { lease: 30, rate_error_ppm: 150_000, ask_every: 10, floor_permille: 1000 };
-const STEPS: u64 = 9;
-/// The need of a planner that wants all it can get.
+const MAX_TIME_STEPS: u64 = 9;
+/// The demand of a planner that wants all the units it can get.
 const ALL: u64 = 9;
 
 #[derive(Clone, Debug)]
 struct State {
     now: u64,
     shares: Vec<Share>,
-    grounds: Vec<Ground>,
+    slot_leases: Vec<SlotLeases>,
     lives: Vec<Life>,
-    /// Words on their way; one that was taken may come again.
-    net: BTreeSet<(Member, Member, Word)>,
+    /// Messages in transit; a delivered one may be delivered again.
+    net: BTreeSet<(Member, Member, Message)>,
     crashes: u8,
-    /// Changes of need.
-    turns: u8,
+    /// Changes of demand so far.
+    demand_changes: u8,
 }
 
 impl State {
@@ -41,13 +41,13 @@
     }
 
     fn sum(&self) -> u64 {
-        let usable = |(of, s): (usize, &Share)| s.usable(&self.grounds[of], self.clock(of));
+        let usable = |(of, s): (usize, &Share)| s.usable(&self.slot_leases[of], self.clock(of));
         self.shares.iter().enumerate().map(usable).sum()
     }
 
     fn key(&self) -> impl Hash + PartialEq + '_ {
         let shares: Vec<_> = self.shares.iter().map(Share::key).collect();
-        (self.now, shares, &self.grounds, &self.net, self.crashes, self.turns)
+        (self.now, shares, &self.slot_leases, &self.net, self.crashes, self.demand_changes)
     }
 }
 
@@ -65,13 +65,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    /// A word comes; it stays on its way where it is doubled.
-    Take((Member, Member, Word), bool),
-    Lose((Member, Member, Word)),
+    /// A message is delivered; it stays in transit if it is duplicated.
+    Deliver((Member, Member, Message), bool),
+    Lose((Member, Member, Message)),
     Ask(usize),
     Crash(usize),
-    /// The planner needs all it can get, or nothing any more.
-    Turn(usize),
+    /// The planner's demand changes between all the units it can get and none.
+    ToggleDemand(usize),
     Time,
 }
 
@@ -79,7 +79,7 @@
     members: Member,
     whole: u64,
     crashes: u8,
-    turns: u8,
+    demand_changes: u8,
 }
 
 impl World {
@@ -88,9 +88,9 @@
     }
 }
 
-/// The floor waits until an earlier life's loans have lapsed.
-fn ground(now: Micros) -> Ground {
-    Ground { quiet_until: now + TERMS.lender_term(), slots: vec![] }
+/// The floor is withheld until the loans of an earlier incarnation have expired.
+fn initial_leases(now: Micros) -> SlotLeases {
+    SlotLeases { grace_until: now + TERMS.lender_term(), slots: vec![] }
 }
 
 impl Model for World {
@@ -105,14 +105,26 @@
             share
         };
         let shares = (0..self.members).map(share).collect();
-        let grounds = (0..self.members).map(|_| ground(began)).collect();
+        let slot_leases = (0..self.members).map(|_| initial_leases(began)).collect();
         let lives = (0..self.members).map(|me| u64::from(me) + 1).collect();
-        vec![State { now: 0, shares, grounds, lives, net: BTreeSet::new(), crashes: 0, turns: 0 }]
+        vec![State {
+            now: 0,
+            shares,
+            slot_leases,
+            lives,
+            net: BTreeSet::new(),
+            crashes: 0,
+            demand_changes: 0,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        for word in &state.net {
-            actions.extend([Step::Take(*word, false), Step::Take(*word, true), Step::Lose(*word)]);
+        for message in &state.net {
+            actions.extend([
+                Step::Deliver(*message, false),
+                Step::Deliver(*message, true),
+                Step::Lose(*message),
+            ]);
         }
         if state.net.len() < 3 {
             actions.push(Step::Ask(0));
@@ -120,10 +132,10 @@
         if state.crashes < self.crashes {
             actions.extend([Step::Crash(0), Step::Crash(1)]);
         }
-        if state.turns < self.turns {
-            actions.extend([Step::Turn(0), Step::Turn(1)]);
+        if state.demand_changes < self.demand_changes {
+            actions.extend([Step::ToggleDemand(0), Step::ToggleDemand(1)]);
         }
-        if state.now < STEPS {
+        if state.now < MAX_TIME_STEPS {
             actions.push(Step::Time);
         }
     }
@@ -131,26 +143,26 @@
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
-            Step::Take(word, stays) => {
-                let (from, to, said) = word;
+            Step::Deliver(message, stays) => {
+                let (from, to, content) = message;
                 let (of, clock) = (usize::from(to), state.clock(usize::from(to)));
-                let answer = match said {
-                    Word::Ask(ask) => state.shares[of].asked(&state.grounds[of], clock, from, ask),
-                    Word::Grant(grant) => {
-                        state.shares[of].granted(clock, from, grant);
+                let answer = match content {
+                    Message::Ask(ask) => state.shares[of].on_ask(&state.slot_leases[of], clock, from, ask),
+                    Message::Grant(grant) => {
+                        state.shares[of].on_grant(clock, from, grant);
                         None
                     }
                 };
                 if !stays {
-                    state.net.remove(&word);
+                    state.net.remove(&message);
                 }
-                state.net.extend(answer.map(|answer| (to, from, Word::Grant(answer))));
+                state.net.extend(answer.map(|answer| (to, from, Message::Grant(answer))));
             }
-            Step::Lose(word) => _ = state.net.remove(&word),
+            Step::Lose(message) => _ = state.net.remove(&message),
             Step::Ask(of) => {
                 let clock = state.clock(of);
-                let asks = state.shares[of].tick(&state.grounds[of], clock);
-                state.net.extend(asks.into_iter().map(|(to, ask)| (of as Member, to, Word::Ask(ask))));
+                let asks = state.shares[of].tick(&state.slot_leases[of], clock);
+                state.net.extend(asks.into_iter().map(|(to, ask)| (of as Member, to, Message::Ask(ask))));
             }
             Step::Crash(of) => {
                 let clock = state.clock(of);
@@ -158,13 +170,13 @@
                 let need = state.shares[of].demand();
                 state.shares[of] = self.share(of as Member, state.lives[of], clock);
                 state.shares[of].set_need(need, 0, 0);
-                state.grounds[of] = ground(clock);
+                state.slot_leases[of] = initial_leases(clock);
                 state.crashes += 1;
             }
-            Step::Turn(of) => {
+            Step::ToggleDemand(of) => {
                 let need = if state.shares[of].demand() == 0 { ALL } else { 0 };
                 state.shares[of].set_need(need, 0, 0);
-                state.turns += 1;
+                state.demand_changes += 1;
             }
             Step::Time => state.now += 1,
         }
@@ -178,11 +190,11 @@
             }),
             Property::sometimes("a planner has more than its base", |world: &World, state: &State| {
                 let first = &state.shares[0];
-                first.usable(&state.grounds[0], state.clock(0)) > base(world.whole, world.members, 0, 0)
+                first.usable(&state.slot_leases[0], state.clock(0)) > base(world.whole, world.members, 0, 0)
             }),
             Property::sometimes("a loan lapses", |_, state: &State| {
-                let held = |h: &Held| h.loan.last() > 0 && h.loan.at(state.clock(0)) == 0;
-                state.shares[0].held.values().any(held)
+                let lapsed = |b: &Borrowed| b.loan.expiry() > 0 && b.loan.units_at(state.clock(0)) == 0;
+                state.shares[0].borrowed.values().any(lapsed)
             }),
         ]
     }
@@ -197,10 +209,10 @@
 
 #[test]
 fn three_planners_never_exceed_the_whole() {
-    check(World { members: 3, whole: 4, crashes: 1, turns: 0 }, 11, 50_000);
+    check(World { members: 3, whole: 4, crashes: 1, demand_changes: 0 }, 11, 50_000);
 }
 
 #[test]
 fn two_planners_never_exceed_the_whole_in_long_runs() {
-    check(World { members: 2, whole: 2, crashes: 1, turns: 2 }, 11, 50_000);
+    check(World { members: 2, whole: 2, crashes: 1, demand_changes: 2 }, 11, 50_000);
 }
--- a/src/decide/fleet/mod.rs
+++ b/src/decide/fleet/mod.rs
@@ -1,21 +1,25 @@
-//! Who is here: which planners of a fleet may act for which of its places, decided by a few of them that vote. Pure: times
-//! of the planner's own steady clock and words of other planners come in, words to others go out.
+//! Slots of a fleet: which planner may act for which position in the fleet's list, decided by the votes of a
+//! few of the planners. Pure: times of the planner's own monotonic clock and messages from other planners
+//! come in, messages to other planners go out.
 //!
-//! Every listed planner has a slot. A slot is held by one life of one planner at a time, its own as long as that lives, and
-//! another's, a caretaker's, once it does not. What hangs on a slot (a part of each budget, [`crate::decide::budgets`])
-//! goes with it.
+//! Every listed planner has a slot. One incarnation of one planner holds a slot at a time: the planner's own
+//! while that runs, otherwise that of another planner, the caretaker. Whatever hangs on a slot (a part of
+//! each budget, [`crate::decide::budgets`]) is used by its holder.
 //!
-//! What must hold, and what holds it (`model`, and the table in `docs/design/budgets.md`):
-//! - At any instant of true time at most one life holds a slot. A life holds it while more than half of all voters gave it
-//!   their vote; a voter gives each vote to one life, for [`Terms::lender_term`] of its own clock; the holder counts the
-//!   same vote from when its claim left, for the shorter [`Terms::borrower_term`].
-//! - A voter that has started gives no vote until all that an earlier life of it may have given have lapsed.
-//! - A life that has given a slot back counts no vote that it claimed before.
-//! - A claim that comes late, after a newer one of its life or after its slot was given back, is not obeyed.
+//! Invariants, and the rules that ensure them (`model`, and the table in `docs/design/budgets.md`):
+//! - At any instant of true time at most one incarnation holds a slot. An incarnation holds it while more
+//!   than half of all voters have given it their vote. A voter gives its vote for a slot to one incarnation
+//!   at a time, for [`Terms::lender_term`] by its own clock; the holder counts the same vote from the time
+//!   when its claim was sent, for the shorter [`Terms::borrower_term`].
+//! - A voter that has started gives no vote until every vote that an earlier incarnation of it may have given
+//!   has expired.
+//! - An incarnation that has given a slot back counts no vote for claims that it made before.
+//! - A claim is ignored if it arrives after a newer one of its incarnation, or after its slot was given back.
 //!
-//! Method: leases by clocks that only need a bounded rate error (C. Gray and D. Cheriton, "Leases", SOSP 1989), each given
-//! by a majority (D. Gifford, "Weighted Voting for Replicated Data", SOSP 1979). There is no election and no leader: each
-//! slot is decided alone, and which planner claims one that is free follows from a draw that all voters make alike.
+//! Method: leases by clocks that only need a bounded rate error (C. Gray and D. Cheriton, "Leases", SOSP
+//! 1989), each given by a majority (D. Gifford, "Weighted Voting for Replicated Data", SOSP 1979). There is
+//! no election and no leader: each slot is decided independently, and all voters choose the claimer of a free
+//! slot by the same hash.
 
 pub mod settings;
 mod voter;
@@ -26,75 +30,78 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// Microseconds on the planner's own steady clock.
+/// Microseconds on the planner's own monotonic clock.
 pub type Micros = u64;
-/// A planner, by its place in the fleet's list. Its slot has the same number.
+/// A planner, by its index in the fleet's list. Its slot has the same number.
 pub type Member = u16;
-/// A life of a planner: drawn anew at each start.
+/// An incarnation of a planner: a random number drawn at each start.
 pub type Life = u64;
 
-/// Count. Planners of a fleet at most.
+/// The most planners that a fleet may have.
 pub const MOST_MEMBERS: usize = 1024;
-/// Count. Claims that wait for their answers; older ones are not counted any more.
-const MOST_OUT: usize = 16;
-/// Parts of a lease. How often what is held is claimed anew.
-const CLAIMS_A_LEASE: u64 = 4;
+/// The most unanswered claims that are kept for a slot; votes for older ones are ignored.
+const MAX_PENDING_CLAIMS: usize = 16;
+/// How often each held slot is claimed anew within one lease.
+const CLAIMS_PER_LEASE: u64 = 4;
 
-/// How leases run; the same at all planners of a fleet.
+/// Parameters of the leases; the same at all planners of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
-    /// Microseconds that a vote or a loan lasts.
+    /// Duration of a vote or a loan, in microseconds.
     pub lease: Micros,
-    /// Millionths by which a clock may run fast or slow.
+    /// The largest rate error of a clock, in parts per million.
     pub rate_error_ppm: u64,
-    /// Microseconds between asks for more of a budget.
+    /// Microseconds between asks for more units of a budget.
     pub ask_every: Micros,
-    /// Thousandths of its part that a planner may use without hearing anyone; the rest hangs on its slot.
+    /// Thousandths of its base that a planner may use without the consent of others; the rest hangs on its
+    /// slot.
     pub floor_permille: u64,
 }
 
 impl Terms {
-    /// What a clock may be off over a span, at most.
-    fn error(&self, span: Micros) -> Micros {
+    /// The largest error of a clock over a span.
+    fn max_drift(&self, span: Micros) -> Micros {
         (span as u128 * self.rate_error_ppm as u128 / 1_000_000) as Micros + 1
     }
 
-    /// So long by its own clock a giver counts what it gave for that span: longer than any clock's.
-    pub fn given_for(&self, span: Micros) -> Micros {
-        span + self.error(span)
+    /// How long a lender or voter, by its own clock, counts what it gave for a span: at least the span on any
+    /// clock.
+    pub fn lender_span(&self, span: Micros) -> Micros {
+        span + self.max_drift(span)
     }
 
-    /// So long by its own clock a taker counts what it was given for that span: shorter than any clock's.
-    pub fn taken_for(&self, span: Micros) -> Micros {
-        span.saturating_sub(self.error(span))
+    /// How long a borrower or claimer, by its own clock, counts what it got for a span: at most the span on
+    /// any clock.
+    pub fn borrower_span(&self, span: Micros) -> Micros {
+        span.saturating_sub(self.max_drift(span))
     }
 
-    /// The same for a whole lease, at the giver.
+    /// [`Terms::lender_span`] of a whole lease.
     pub fn lender_term(&self) -> Micros {
-        self.given_for(self.lease)
+        self.lender_span(self.lease)
     }
 
-    /// The same for a whole lease, at the taker.
+    /// [`Terms::borrower_span`] of a whole lease.
     pub fn borrower_term(&self) -> Micros {
-        self.taken_for(self.lease)
+        self.borrower_span(self.lease)
     }
 }
 
-/// A neutral figure, the same for the same value at every planner.
-pub fn mixed(value: impl Hash) -> u64 {
+/// A hash that is the same for the same value at every planner.
+pub fn stable_hash(value: impl Hash) -> u64 {
     let mut hash = SipHasher13::new();
     value.hash(&mut hash);
     hash.finish()
 }
 
-/// A planner claims a slot of a voter, or gives it back.
+/// A claim on a slot, sent to a voter, or the notice that the slot is given back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Claim {
     /// The slot.
     pub slot: Member,
-    /// Counts this life's claims.
+    /// Sequence number of this incarnation's claims.
     pub number: u64,
-    /// Whether it is claimed; else it is given back.
+    /// Whether the slot is claimed; otherwise it is given back.
     pub keep: bool,
 }
 
@@ -103,43 +110,43 @@
 pub struct Vote {
     /// The slot.
     pub slot: Member,
-    /// The life that claimed.
+    /// The incarnation that made the claim.
     pub life: Life,
-    /// The claim.
+    /// The number of the claim.
     pub number: u64,
-    /// Whether it has the vote for a lease.
+    /// Whether the voter gave its vote, for one lease.
     pub given: bool,
-    /// Its own planner is back and waits for it.
+    /// The slot's own planner has claimed it in vain and waits for it.
     pub wanted: bool,
-    /// A slot that nobody holds and that falls to the claimer.
+    /// A slot that nobody holds and that the claimer should claim next.
     pub free: Option<Member>,
 }
 
-/// What a planner may count on: slots, each until a time of its clock.
+/// The slots that this planner holds, and for how long.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Ground {
-    /// Until then an earlier life's floor may still be in use or lent.
-    pub quiet_until: Micros,
-    /// The slots held, and until when each.
+pub struct SlotLeases {
+    /// Until then the floor of an earlier incarnation may still be in use or on loan.
+    pub grace_until: Micros,
+    /// The slots held, each with its end.
     pub slots: Vec<(Member, Micros)>,
 }
 
 /// A slot that this planner claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Hold {
-    /// When it was claimed first.
+struct SlotClaim {
+    /// When it was first claimed.
     since: Micros,
-    /// The numbers of its last claims and when each left.
-    asked: VecDeque<(u64, Micros)>,
-    /// Until when each voter's vote counts here.
+    /// The numbers of the latest claims, and when each was sent.
+    pending: VecDeque<(u64, Micros)>,
+    /// The end of each voter's vote, as counted here.
     votes: BTreeMap<Member, Micros>,
-    /// It is claimed no more: its own planner waits for it, or this one leaves.
-    giving: bool,
+    /// The slot is no longer claimed: its own planner waits for it, or this planner leaves.
+    giving_back: bool,
 }
 
-impl Hold {
-    /// Until when more than half of so many voters gave it.
-    fn until(&self, voters: usize) -> Micros {
+impl SlotClaim {
+    /// Until when votes of more than half of the voters last.
+    fn held_until(&self, voters: usize) -> Micros {
         let mut votes: Vec<Micros> = self.votes.values().copied().collect();
         votes.sort_unstable_by(|a, b| b.cmp(a));
         votes.get(voters / 2).copied().unwrap_or(0)
@@ -155,18 +162,19 @@
     terms: Terms,
     voters: Vec<Member>,
     voter: Option<Voter>,
-    holds: BTreeMap<Member, Hold>,
-    /// Claims made so far.
-    count: u64,
-    claim_at: Micros,
+    slot_claims: BTreeMap<Member, SlotClaim>,
+    /// Number of claims made so far.
+    claim_count: u64,
+    next_claim_at: Micros,
     leaving: bool,
-    ground: Ground,
-    /// When each other planner was heard last, and its life then.
+    ground: SlotLeases,
+    /// Each other planner's incarnation, and when it was last heard.
     heard: BTreeMap<Member, (Life, Micros)>,
 }
 
 impl Fleet {
-    /// The part of the planner `me` of so many, in a life that begins now. Without voters nothing hangs on slots.
+    /// The part of planner `me` of `members`, in an incarnation that starts at `now`. Without voters nothing
+    /// hangs on slots.
     pub fn new(
         (me, members): (Member, Member),
         life: Life,
@@ -177,7 +185,7 @@
         debug_assert!(me < members && usize::from(members) <= MOST_MEMBERS);
         debug_assert!(voters.iter().all(|v| *v < members));
         let voter = voters.contains(&me).then(|| Voter::new(members, terms, now));
-        let ground = Ground { quiet_until: now + terms.lender_term(), slots: Vec::new() };
+        let ground = SlotLeases { grace_until: now + terms.lender_term(), slots: Vec::new() };
         Fleet {
             me,
             members,
@@ -185,31 +193,31 @@
             terms,
             voters,
             voter,
-            holds: BTreeMap::new(),
-            count: 0,
-            claim_at: now,
+            slot_claims: BTreeMap::new(),
+            claim_count: 0,
+            next_claim_at: now,
             leaving: false,
             ground,
             heard: BTreeMap::new(),
         }
     }
 
-    /// This planner, and how many there are.
+    /// The index of this planner, and the number of planners.
     pub fn place(&self) -> (Member, Member) {
         (self.me, self.members)
     }
 
-    /// This life.
+    /// This incarnation.
     pub fn life(&self) -> Life {
         self.life
     }
 
-    /// How leases run.
+    /// Parameters of the leases.
     pub fn terms(&self) -> Terms {
         self.terms
     }
 
-    /// Thousandths of each planner's part that hang on no slot.
+    /// Thousandths of each planner's base that hang on no slot.
     pub fn floor_permille(&self) -> u64 {
         if self.voters.is_empty() {
             1000
@@ -218,132 +226,146 @@
         }
     }
 
-    /// What this planner may count on.
-    pub fn ground(&self) -> &Ground {
+    /// The slots that this planner holds.
+    pub fn ground(&self) -> &SlotLeases {
         &self.ground
     }
 
-    /// Whether this planner has said that it leaves.
+    /// Whether this planner is about to stop.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Planners heard within two leases.
+    /// Number of other planners heard within two leases.
     pub fn here(&self, now: Micros) -> usize {
         self.heard.values().filter(|(_, at)| now < *at + 2 * self.terms.lease).count()
     }
 
-    /// Books that a planner was heard.
-    pub fn note(&mut self, now: Micros, from: Member, life: Life) {
+    /// Records that a message from a planner arrived.
+    pub fn record_heard(&mut self, now: Micros, from: Member, life: Life) {
         if from < self.members && from != self.me {
             self.heard.insert(from, (life, now));
         }
     }
 
-    fn refresh(&mut self) {
+    fn refresh_slots(&mut self) {
         let voters = self.voters.len();
-        let slots = self.holds.iter().map(|(&slot, hold)| (slot, hold.until(voters)));
+        let slots = self.slot_claims.iter().map(|(&slot, slot_claim)| (slot, slot_claim.held_until(voters)));
         self.ground.slots = slots.filter(|(_, until)| *until > 0).collect();
     }
 
-    /// The planner is about to stop: it claims nothing more, and gives back what it can spare.
+    /// The planner is about to stop: it makes no more claims, and gives back the slots that it no longer
+    /// needs.
     pub fn leave(&mut self) {
         self.leaving = true;
-        self.holds.values_mut().for_each(|hold| hold.giving = true);
+        self.slot_claims.values_mut().for_each(|slot_claim| slot_claim.giving_back = true);
     }
 
-    /// Slots that are to be given back as soon as nothing counts on them.
-    pub fn giving(&self) -> Vec<Member> {
-        self.holds.iter().filter(|(_, hold)| hold.giving).map(|(&slot, _)| slot).collect()
+    /// Slots to be given back as soon as no use and no loan counts on them.
+    pub fn slots_to_give_back(&self) -> Vec<Member> {
+        self.slot_claims
+            .iter()
+            .filter(|(_, slot_claim)| slot_claim.giving_back)
+            .map(|(&slot, _)| slot)
+            .collect()
     }
 
-    /// Gives a slot back: nothing counts on it any more.
+    /// Gives back a slot on which nothing counts any more.
     pub fn give_back(&mut self, now: Micros, slot: Member) -> Vec<(Member, Claim)> {
-        if self.holds.remove(&slot).is_none() {
+        if self.slot_claims.remove(&slot).is_none() {
             return Vec::new();
         }
-        self.refresh();
-        self.count += 1;
-        self.say(now, Claim { slot, number: self.count, keep: false })
+        self.refresh_slots();
+        self.claim_count += 1;
+        self.broadcast(now, Claim { slot, number: self.claim_count, keep: false })
     }
 
-    /// A claim to all voters; this planner's own vote is given at once.
-    fn say(&mut self, now: Micros, claim: Claim) -> Vec<(Member, Claim)> {
-        let mut words: Vec<_> = self.voters.iter().filter(|v| **v != self.me).map(|&v| (v, claim)).collect();
-        if let Some(vote) = self.voter.as_mut().and_then(|v| v.hear(now, (self.me, self.life), claim)) {
-            words.extend(self.voted(now, self.me, vote));
+    /// Sends a claim to all voters; if this planner votes, its own vote is given at once.
+    fn broadcast(&mut self, now: Micros, claim: Claim) -> Vec<(Member, Claim)> {
+        let mut claims: Vec<_> = self.voters.iter().filter(|v| **v != self.me).map(|&v| (v, claim)).collect();
+        if let Some(vote) = self.voter.as_mut().and_then(|v| v.on_claim(now, (self.me, self.life), claim)) {
+            claims.extend(self.on_vote(now, self.me, vote));
         }
-        words
+        claims
     }
 
     fn claim(&mut self, now: Micros, slot: Member) -> Vec<(Member, Claim)> {
-        self.count += 1;
-        let number = self.count;
-        let hold = self.holds.entry(slot).or_insert_with(|| Hold { since: now, ..Hold::default() });
-        hold.asked.push_back((number, now));
-        if hold.asked.len() > MOST_OUT {
-            hold.asked.pop_front();
+        self.claim_count += 1;
+        let number = self.claim_count;
+        let slot_claim =
+            self.slot_claims.entry(slot).or_insert_with(|| SlotClaim { since: now, ..SlotClaim::default() });
+        slot_claim.pending.push_back((number, now));
+        if slot_claim.pending.len() > MAX_PENDING_CLAIMS {
+            slot_claim.pending.pop_front();
         }
-        self.say(now, Claim { slot, number, keep: true })
+        self.broadcast(now, Claim { slot, number, keep: true })
     }
 
-    /// What is due: claims on what is held, and what is given up.
+    /// Returns the claims that are due, and the notices for slots that are given up.
     pub fn tick(&mut self, now: Micros) -> Vec<(Member, Claim)> {
-        let mut words = Vec::new();
+        let mut claims = Vec::new();
         if self.voters.is_empty() {
-            return words;
+            return claims;
         }
         let (voters, lease, me) = (self.voters.len(), self.terms.lease, self.me);
-        // What lapsed while it was being given back is nobody's here; a claim on another's slot that found no majority
-        // makes room for others' claims.
-        let over = |(&slot, hold): (&Member, &Hold)| {
-            let lapsed = hold.until(voters) <= now;
-            (lapsed && (hold.giving || (slot != me && now >= hold.since + lease / 2))).then_some(slot)
+        // Gives up slots that expired while they waited to be given back. A claim on another planner's slot
+        // that found no majority within half a lease is given up, too, so that others can claim the slot.
+        let expired = |(&slot, slot_claim): (&Member, &SlotClaim)| {
+            let lapsed = slot_claim.held_until(voters) <= now;
+            (lapsed && (slot_claim.giving_back || (slot != me && now >= slot_claim.since + lease / 2)))
+                .then_some(slot)
         };
-        let over: Vec<Member> = self.holds.iter().filter_map(over).collect();
-        for slot in over {
-            words.extend(self.give_back(now, slot));
+        let expired: Vec<Member> = self.slot_claims.iter().filter_map(expired).collect();
+        for slot in expired {
+            claims.extend(self.give_back(now, slot));
         }
-        if now >= self.claim_at {
-            // Drawn from the life, so that planners that started together do not claim in step.
-            let every = lease / CLAIMS_A_LEASE;
-            self.claim_at = now + every - mixed((self.life, self.count)) % (every / 4 + 1);
+        if now >= self.next_claim_at {
+            // The jitter depends on the incarnation, so that planners that started together do not claim in
+            // step.
+            let every = lease / CLAIMS_PER_LEASE;
+            self.next_claim_at = now + every - stable_hash((self.life, self.claim_count)) % (every / 4 + 1);
             if !self.leaving {
-                self.holds.entry(me).or_insert_with(|| Hold { since: now, ..Hold::default() });
+                self.slot_claims
+                    .entry(me)
+                    .or_insert_with(|| SlotClaim { since: now, ..SlotClaim::default() });
             }
-            let wanted = self.holds.iter().filter(|(_, hold)| !hold.giving).map(|(&slot, _)| slot);
+            let wanted = self
+                .slot_claims
+                .iter()
+                .filter(|(_, slot_claim)| !slot_claim.giving_back)
+                .map(|(&slot, _)| slot);
             for slot in wanted.collect::<Vec<_>>() {
-                words.extend(self.claim(now, slot));
+                claims.extend(self.claim(now, slot));
             }
         }
-        self.refresh();
-        words
+        self.refresh_slots();
+        claims
     }
 
-    /// Takes a claim in, where this planner votes; tells what is answered.
-    pub fn claimed(&mut self, now: Micros, from: (Member, Life), claim: Claim) -> Option<Vote> {
+    /// Processes a claim and returns the answer, if this planner votes.
+    pub fn on_claim(&mut self, now: Micros, from: (Member, Life), claim: Claim) -> Option<Vote> {
         if from.0 == self.me || from.0 >= self.members || claim.slot >= self.members {
             return None;
         }
-        self.voter.as_mut()?.hear(now, from, claim)
+        self.voter.as_mut()?.on_claim(now, from, claim)
     }
 
-    /// Takes a vote in; tells what is claimed next.
-    pub fn voted(&mut self, now: Micros, from: Member, vote: Vote) -> Vec<(Member, Claim)> {
+    /// Processes a vote and returns the claims that follow from it.
+    pub fn on_vote(&mut self, now: Micros, from: Member, vote: Vote) -> Vec<(Member, Claim)> {
         if vote.life != self.life || !self.voters.contains(&from) {
             return Vec::new();
         }
-        if let Some(hold) = self.holds.get_mut(&vote.slot) {
-            let asked = hold.asked.iter().find(|(number, _)| *number == vote.number);
-            if let Some((_, asked)) = asked.filter(|_| vote.given) {
-                let until = hold.votes.entry(from).or_default();
-                *until = (*until).max(asked + self.terms.borrower_term());
-                hold.giving |= vote.wanted && vote.slot != self.me;
-                self.refresh();
+        if let Some(slot_claim) = self.slot_claims.get_mut(&vote.slot) {
+            let pending = slot_claim.pending.iter().find(|(number, _)| *number == vote.number);
+            if let Some((_, sent_at)) = pending.filter(|_| vote.given) {
+                let until = slot_claim.votes.entry(from).or_default();
+                *until = (*until).max(sent_at + self.terms.borrower_term());
+                slot_claim.giving_back |= vote.wanted && vote.slot != self.me;
+                self.refresh_slots();
             }
         }
         match vote.free {
-            Some(slot) if slot < self.members && !self.leaving && !self.holds.contains_key(&slot) => {
+            Some(slot) if slot < self.members && !self.leaving && !self.slot_claims.contains_key(&slot) => {
                 self.claim(now, slot)
             }
             _ => Vec::new(),
--- a/src/decide/fleet/model.rs
+++ b/src/decide/fleet/model.rs
@@ -1,31 +1,32 @@
-//! A model check of who holds a slot: the real code of planners that vote, every order of claims, votes, losses, doublings,
-//! crashes and pauses on clocks that run apart, to a bounded depth. The property: no slot is held by two lives at once.
+//! A model check of slot ownership: planners that vote run the real code. The checker tries every order of
+//! claims, votes, losses, duplicates, crashes and pauses, on clocks that diverge, up to a bounded depth. The
+//! property: no slot is held by two incarnations at once.
 
 use super::*;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// Ticks of each planner's clock in one step of true time: they run apart by a fifth.
+/// Ticks of each planner's clock in one step of true time: the rates differ by a fifth.
 const RATES: [u64; 3] = [9, 8, 10];
 const TERMS: Terms = Terms { lease: 30, rate_error_ppm: 150_000, ask_every: 10, floor_permille: 0 };
-const STEPS: u64 = 9;
+const MAX_TIME_STEPS: u64 = 9;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Said {
+enum Message {
     Claim(Life, super::Claim),
     Vote(Vote),
 }
 
-type Letter = (Member, Member, Said);
+type Envelope = (Member, Member, Message);
 
 #[derive(Clone, Debug, PartialEq, Hash)]
 struct State {
     now: u64,
     planners: Vec<Fleet>,
-    /// Letters on their way; one that was taken may come again.
-    net: BTreeSet<Letter>,
+    /// Messages in transit; a delivered one may be delivered again.
+    net: BTreeSet<Envelope>,
     crashes: u8,
-    gifts: u8,
+    give_backs: u8,
 }
 
 impl State {
@@ -33,7 +34,7 @@
         1_000 + self.now * RATES[of]
     }
 
-    /// The lives that count on a slot now.
+    /// The number of planners that hold a slot now.
     fn holders(&self, slot: Member) -> usize {
         let holds = |(of, p): (usize, &Fleet)| {
             p.ground().slots.iter().any(|(held, until)| *held == slot && self.clock(of) < *until)
@@ -41,25 +42,26 @@
         self.planners.iter().enumerate().filter(|(of, p)| holds((*of, p))).count()
     }
 
-    fn post(&mut self, of: usize, claims: Vec<(Member, super::Claim)>) {
+    fn send(&mut self, of: usize, claims: Vec<(Member, super::Claim)>) {
         let life = self.planners[of].life;
-        self.net.extend(claims.into_iter().map(|(to, claim)| (of as Member, to, Said::Claim(life, claim))));
+        self.net
+            .extend(claims.into_iter().map(|(to, claim)| (of as Member, to, Message::Claim(life, claim))));
     }
 
-    fn take(&mut self, letter: Letter) {
-        self.take_at(letter, self.clock(usize::from(letter.1)));
+    fn deliver(&mut self, envelope: Envelope) {
+        self.deliver_at(envelope, self.clock(usize::from(envelope.1)));
     }
 
-    fn take_at(&mut self, (from, to, said): Letter, clock: Micros) {
+    fn deliver_at(&mut self, (from, to, content): Envelope, clock: Micros) {
         let of = usize::from(to);
-        match said {
-            Said::Claim(life, claim) => {
-                let vote = self.planners[of].claimed(clock, (from, life), claim);
-                self.net.extend(vote.map(|vote| (to, from, Said::Vote(vote))));
+        match content {
+            Message::Claim(life, claim) => {
+                let vote = self.planners[of].on_claim(clock, (from, life), claim);
+                self.net.extend(vote.map(|vote| (to, from, Message::Vote(vote))));
             }
-            Said::Vote(vote) => {
-                let claims = self.planners[of].voted(clock, from, vote);
-                self.post(of, claims);
+            Message::Vote(vote) => {
+                let claims = self.planners[of].on_vote(clock, from, vote);
+                self.send(of, claims);
             }
         }
     }
@@ -67,24 +69,24 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Take(Letter, bool),
-    Lose(Letter),
+    Deliver(Envelope, bool),
+    Lose(Envelope),
     Tick(usize),
     Crash(usize),
     /// The planner gives its slots back.
-    Give(usize),
+    GiveBack(usize),
     Time,
 }
 
 struct World {
     voters: Vec<Member>,
-    /// Those whose clocks tick, and those that crash.
-    ticks: Vec<usize>,
-    crash: Vec<usize>,
+    /// The planners that tick, and those that may crash.
+    ticking: Vec<usize>,
+    crashing: Vec<usize>,
     crashes: u8,
-    gifts: u8,
-    /// Who holds slots at the start.
-    settled: Vec<usize>,
+    give_backs: u8,
+    /// The planners that hold slots at the start.
+    initial_holders: Vec<usize>,
     net: usize,
 }
 
@@ -101,14 +103,14 @@
     fn init_states(&self) -> Vec<State> {
         let began = 1_000 - TERMS.lender_term() - TERMS.lease;
         let planners = (0..3).map(|me| self.planner(me, me as Life + 1, began)).collect();
-        let mut state = State { now: 0, planners, net: BTreeSet::new(), crashes: 0, gifts: 0 };
-        // Their last claims are answered just before the beginning.
+        let mut state = State { now: 0, planners, net: BTreeSet::new(), crashes: 0, give_backs: 0 };
+        // The last claims of the initial holders are answered just before the start.
         for early in (1..=3).rev().map(|round| 8 * round) {
-            for of in &self.settled {
+            for of in &self.initial_holders {
                 let claims = state.planners[*of].tick(1_000 - early);
-                state.post(*of, claims);
-                while let Some(letter) = state.net.pop_first() {
-                    state.take_at(letter, 1_000 - early);
+                state.send(*of, claims);
+                while let Some(envelope) = state.net.pop_first() {
+                    state.deliver_at(envelope, 1_000 - early);
                 }
             }
         }
@@ -116,17 +118,21 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        for letter in &state.net {
-            actions.extend([Step::Take(*letter, false), Step::Take(*letter, true), Step::Lose(*letter)]);
+        for envelope in &state.net {
+            actions.extend([
+                Step::Deliver(*envelope, false),
+                Step::Deliver(*envelope, true),
+                Step::Lose(*envelope),
+            ]);
         }
-        actions.extend(self.ticks.iter().map(|&of| Step::Tick(of)));
+        actions.extend(self.ticking.iter().map(|&of| Step::Tick(of)));
         if state.crashes < self.crashes {
-            actions.extend(self.crash.iter().map(|&of| Step::Crash(of)));
+            actions.extend(self.crashing.iter().map(|&of| Step::Crash(of)));
         }
-        if state.gifts < self.gifts {
-            actions.push(Step::Give(0));
+        if state.give_backs < self.give_backs {
+            actions.push(Step::GiveBack(0));
         }
-        if state.now < STEPS {
+        if state.now < MAX_TIME_STEPS {
             actions.push(Step::Time);
         }
     }
@@ -134,30 +140,30 @@
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
-            Step::Take(letter, stays) => {
-                state.take(letter);
+            Step::Deliver(envelope, stays) => {
+                state.deliver(envelope);
                 if !stays {
-                    state.net.remove(&letter);
+                    state.net.remove(&envelope);
                 }
             }
-            Step::Lose(letter) => _ = state.net.remove(&letter),
+            Step::Lose(envelope) => _ = state.net.remove(&envelope),
             Step::Tick(of) => {
                 let clock = state.clock(of);
                 let claims = state.planners[of].tick(clock);
-                state.post(of, claims);
+                state.send(of, claims);
             }
             Step::Crash(of) => {
                 let (clock, life) = (state.clock(of), state.planners[of].life + 10);
                 state.planners[of] = self.planner(of, life, clock);
                 state.crashes += 1;
             }
-            Step::Give(of) => {
+            Step::GiveBack(of) => {
                 let clock = state.clock(of);
                 for (slot, _) in state.planners[of].ground().slots.clone() {
                     let claims = state.planners[of].give_back(clock, slot);
-                    state.post(of, claims);
+                    state.send(of, claims);
                 }
-                state.gifts += 1;
+                state.give_backs += 1;
             }
             Step::Time => state.now += 1,
         }
@@ -188,21 +194,21 @@
     assert!(checker.unique_state_count() > least, "{} states", checker.unique_state_count());
 }
 
-/// The planner that takes over the slot of planner 0 where all others are here.
+/// The planner that takes over the slot of planner 0 if all others are present.
 fn caretaker() -> usize {
-    (1..3u16).max_by_key(|member| mixed((0u16, member))).map_or(1, usize::from)
+    (1..3u16).max_by_key(|member| stable_hash((0u16, member))).map_or(1, usize::from)
 }
 
 #[test]
 fn three_voters_give_no_slot_twice() {
-    let ticks = vec![0, caretaker()];
+    let ticking = vec![0, caretaker()];
     let world = World {
         voters: vec![0, 1, 2],
-        ticks,
-        crash: vec![3 - caretaker()],
+        ticking,
+        crashing: vec![3 - caretaker()],
         crashes: 1,
-        gifts: 0,
-        settled: vec![0, caretaker()],
+        give_backs: 0,
+        initial_holders: vec![0, caretaker()],
         net: 3,
     };
     check(world, 11, 20_000);
@@ -210,30 +216,42 @@
 
 #[test]
 fn one_voter_gives_no_slot_twice_over_crashes_and_gifts() {
-    let (crash, ticks) = (vec![0, 2], vec![0, caretaker()]);
+    let (crashing, ticking) = (vec![0, 2], vec![0, caretaker()]);
     check(
-        World { voters: vec![2], ticks, crash, crashes: 1, gifts: 1, settled: vec![0, caretaker()], net: 3 },
+        World {
+            voters: vec![2],
+            ticking,
+            crashing,
+            crashes: 1,
+            give_backs: 1,
+            initial_holders: vec![0, caretaker()],
+            net: 3,
+        },
         10,
         50_000,
     );
 }
 
-/// A caretaker holds the slot of a planner that comes back: it has it no more when that one has.
+/// A planner that comes back gets its slot only after its caretaker has lost it.
 #[test]
 fn a_planner_that_is_back_and_its_caretaker_never_hold_its_slot_together() {
-    let care = caretaker();
+    let caretaker_index = caretaker();
     let world = World {
-        voters: vec![3 - care as Member],
-        ticks: vec![0, care],
-        crash: vec![],
+        voters: vec![3 - caretaker_index as Member],
+        ticking: vec![0, caretaker_index],
+        crashing: vec![],
         crashes: 0,
-        gifts: 0,
-        settled: vec![care],
+        give_backs: 0,
+        initial_holders: vec![caretaker_index],
         net: 3,
     };
     let first = &world.init_states()[0];
-    let slots: Vec<Member> = first.planners[care].ground().slots.iter().map(|(slot, _)| *slot).collect();
-    assert!(slots.contains(&0), "it holds the slot at the beginning: {slots:?}");
-    assert!(RATES[care] < RATES[3 - care], "its clock runs slower than its voter's");
+    let slots: Vec<Member> =
+        first.planners[caretaker_index].ground().slots.iter().map(|(slot, _)| *slot).collect();
+    assert!(slots.contains(&0), "the caretaker holds the slot at the start: {slots:?}");
+    assert!(
+        RATES[caretaker_index] < RATES[3 - caretaker_index],
+        "the caretaker's clock is slower than its voter's"
+    );
     check(world, 10, 20_000);
 }
--- a/src/decide/fleet/settings.rs
+++ b/src/decide/fleet/settings.rs
@@ -1,52 +1,55 @@
-//! The section `fleet` of the operators' file: the planners, which of them vote, and how leases run.
+//! The section `fleet` of the operators' file: the planners, the voters among them, and the parameters of the
+//! leases.
 
-use super::{mixed, Member, Terms, MOST_MEMBERS};
+use super::{stable_hash, Member, Terms, MOST_MEMBERS};
 use crate::decide::budgets::Plan;
 use crate::document::{Item, Section};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Milliseconds. The shortest and the longest lease, and the one where none is set.
-const LEASE_MS: (f64, f64, f64) = (500.0, 120_000.0, 3000.0);
-/// Share of its part that a planner may use without hearing anyone, where none is set.
-const FLOOR_SHARE: f64 = 0.5;
-/// Millionths by which a clock may run fast or slow: the most, and where none is set. Clocks of machines that nothing
-/// disciplines drift by some 100; a hundredth leaves room for those that are slewed hard.
+/// Milliseconds. The shortest and the longest lease, and the default.
+const LEASE_RANGE_MS: (f64, f64, f64) = (500.0, 120_000.0, 3000.0);
+/// The default share of its base that a planner may use without the consent of others.
+const DEFAULT_FLOOR_SHARE: f64 = 0.5;
+/// The largest clock rate error that may be set, and the default, in parts per million. Undisciplined clocks
+/// of machines drift by about 100 ppm; the default of 1 % leaves room for clocks that are slewed hard.
 const RATE_ERROR_PPM: (f64, f64) = (100_000.0, 10_000.0);
-/// Count. Planners that vote at most; more make each slot dearer and hardly safer.
-const MOST_VOTERS: usize = 9;
-/// Bytes of a name.
-const MOST_NAME: usize = 64;
-/// Parts of a lease between asks, and the least and most of it in microseconds.
-const ASKS: (u64, u64, u64) = (60, 20_000, 500_000);
+/// The most planners that vote. More voters make each slot more expensive to hold and hardly safer.
+const MAX_VOTERS: usize = 9;
+/// Length of a name in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// Divisor of the lease that gives the interval between asks, and the bounds of that interval in
+/// microseconds.
+const ASK_INTERVAL: (u64, u64, u64) = (60, 20_000, 500_000);
 const LOOPBACK: &str = "planners of a fleet are reached on loopback only";
 
-/// The whole section.
+/// The settings of the section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetSettings {
-    /// The fleet's name: words of another are dropped.
+    /// The fleet's name: messages of another fleet are dropped.
     pub name: String,
-    /// Where this planner hears the others.
+    /// The address at which this planner receives messages from the others.
     pub listen: SocketAddr,
-    /// All planners: their names, and where this one reaches them.
+    /// All planners: their names, and the addresses at which this one reaches them.
     pub planners: Vec<(String, SocketAddr)>,
-    /// What follows for the decisions.
+    /// The part of the settings that the decisions need.
     pub plan: Plan,
 }
 
 impl FleetSettings {
-    /// Tells fleets apart that would not divide alike: their names, lists and terms, but no addresses.
+    /// A digest of the name, the list and the terms, without the addresses. Planners whose digests differ
+    /// would divide budgets differently.
     pub fn digest(&self) -> u64 {
         let names: Vec<&str> = self.planners.iter().map(|(name, _)| name.as_str()).collect();
-        mixed((&self.name, names, &self.plan.voters, self.plan.terms))
+        stable_hash((&self.name, names, &self.plan.voters, self.plan.terms))
     }
 }
 
 fn name<'a>(item: &Item<'a>) -> Option<&'a str> {
     let text = item.text()?;
     let usual = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if text.len() > MOST_NAME || !text.chars().all(usual) {
-        item.fault(format!("must be up to {MOST_NAME} letters, digits, '-', '_' and '.'"));
+    if text.len() > MAX_NAME_BYTES || !text.chars().all(usual) {
+        item.fault(format!("must be up to {MAX_NAME_BYTES} letters, digits, '-', '_' and '.'"));
         return None;
     }
     Some(text)
@@ -56,13 +59,13 @@
     let text = item.text()?;
     match text.parse::<SocketAddr>() {
         Ok(address) if address.ip().is_loopback() => return Some(address),
-        Ok(_) => item.breaks("is reached from outside", LOOPBACK),
+        Ok(_) => item.breaks("is not a loopback address", LOOPBACK),
         Err(_) => item.fault(format!("{text:?} is no address; ADDRESS:PORT is expected")),
     }
     None
 }
 
-/// Reads the section; its faults go to the item's sink.
+/// Reads the section; faults go to the item's sink.
 pub fn read(item: &Item<'_>) -> Option<FleetSettings> {
     let before = item.sink().count();
     let section = item.section()?;
@@ -80,8 +83,10 @@
     };
     let own = section.need("own").and_then(|i| place(&i));
     let voters = voters(&section, place);
-    let lease = section.get("leaseMs").map_or(Some(LEASE_MS.2), |i| i.within(LEASE_MS.0..=LEASE_MS.1, " ms"));
-    let floor = section.get("floorShare").map_or(Some(FLOOR_SHARE), |i| i.within(0.0..=1.0, ""));
+    let lease = section
+        .get("leaseMs")
+        .map_or(Some(LEASE_RANGE_MS.2), |i| i.within(LEASE_RANGE_MS.0..=LEASE_RANGE_MS.1, " ms"));
+    let floor = section.get("floorShare").map_or(Some(DEFAULT_FLOOR_SHARE), |i| i.within(0.0..=1.0, ""));
     let error =
         section.get("clockErrorPpm").map_or(Some(RATE_ERROR_PPM.1), |i| i.within(0.0..=RATE_ERROR_PPM.0, ""));
     section.close(|_| None);
@@ -89,7 +94,7 @@
     let terms = Terms {
         lease,
         rate_error_ppm: error? as u64,
-        ask_every: (lease / ASKS.0).clamp(ASKS.1, ASKS.2),
+        ask_every: (lease / ASK_INTERVAL.0).clamp(ASK_INTERVAL.1, ASK_INTERVAL.2),
         floor_permille: (floor? * 1000.0).round() as u64,
     };
     let plan = Plan { place: (own?, planners.len() as Member), voters, terms };
@@ -131,9 +136,9 @@
     if voters.len() < count {
         item.fault("names a planner twice");
     }
-    if list.len() > MOST_VOTERS || list.len() % 2 == 0 {
+    if list.len() > MAX_VOTERS || list.len() % 2 == 0 {
         item.fault(format!(
-            "has {} planners; an odd number up to {MOST_VOTERS} is allowed, as more than half of them decide",
+            "has {} planners; an odd number up to {MAX_VOTERS} is allowed, as more than half of them decide",
             list.len()
         ));
     }
