--- a/src/decide/budgets/mod.rs
+++ b/src/decide/budgets/mod.rs
@@ -30,10 +30,10 @@
 //! 1989); escrow, in which units are handed over and never created (P. O'Neil, "The Escrow Transactional
 //! Method", TODS 1986).
 
-mod books;
+mod ledger;
 mod share;
 
-pub use books::{Books, BudgetId, Kind, Plan, State, Use, Wanted, Word};
+pub use ledger::{Books, BudgetId, Kind, Plan, State, Use, Wanted, Word};
 pub use share::{base, floor, Ask, Grant, Share};
 
 #[cfg(test)]
