--- a/src/decide/links/mod.rs
+++ b/src/decide/links/mod.rs
@@ -1,153 +1,156 @@
-//! Which machines a connection is held to, where there are more machines than descriptors. Pure: times come in, and
-//! what can be given back is asked of the caller.
+//! Assigns connections to machines where there are more machines than file descriptors. Pure: times come in,
+//! and the caller says which connections are idle.
 //!
-//! A connection has a place. Where all places are taken, whoever wants one waits, a set-up before a visit; the place that
-//! was used the longest ago and on which nothing is open is given back for it. A machine on which tasks only stand is
-//! visited every few seconds: what it owes it sends on the next connection that is opened, and its ends are to be told
-//! within the protocol's 8 s.
+//! Each connection takes a connection slot. When all slots are taken, a machine that needs one waits;
+//! machines with a message to be written go before machines that are only visited. The least recently used
+//! slot whose connection is idle is reclaimed for a waiting machine. A machine that holds tasks but has no
+//! connection is visited every few seconds: it sends the answers that it owes on the next connection that is
+//! opened, and the ends of its tasks must be reported within the protocol's 8 s.
 
 use crate::placer::{MachineId, Seconds};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds. So long after its connection was given back a machine on which tasks stand is visited.
+/// Seconds after its connection was reclaimed at which a machine that holds tasks is visited.
 pub const VISIT_S: Seconds = 3.0;
-/// Seconds. A visit lasts so long at least: what the machine owes comes at once.
-pub const DWELL_S: Seconds = 0.2;
+/// The least duration of a visit, in seconds; the machine sends the answers that it owes at once.
+pub const MIN_VISIT_S: Seconds = 0.2;
 
-/// What a connection is wanted for; what comes first goes first.
+/// Why a connection is needed, in order of priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Need {
-    /// Something waits to be written.
+    /// A message waits to be written.
     Now,
-    /// Tasks stand there, and their ends may be owed.
+    /// The machine holds tasks and may owe their ends.
     Visit,
-    /// Nothing: it would be held because there is room.
+    /// No particular need: the connection is kept while there is room.
     Spare,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Held {
     since: Seconds,
-    used: Seconds,
-    /// It was asked to give its place back.
-    asked: bool,
+    last_used: Seconds,
+    /// Its connection is to be given back.
+    reclaimed: bool,
 }
 
-/// The places for connections.
+/// The connection slots.
 #[derive(Debug)]
 pub struct Places {
-    most: usize,
+    capacity: usize,
     held: BTreeMap<MachineId, Held>,
     waiting: BTreeMap<MachineId, (Need, u64)>,
-    /// The same in the order in which they go.
-    line: BTreeSet<(Need, u64, MachineId)>,
-    turns: u64,
+    /// The waiting machines, in the order in which they get slots.
+    queue: BTreeSet<(Need, u64, MachineId)>,
+    requests: u64,
 }
 
 impl Places {
-    /// So many places, at least one.
-    pub fn new(most: usize) -> Places {
-        let (held, waiting, line) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
-        Places { most: most.max(1), held, waiting, line, turns: 0 }
+    /// Creates `capacity` slots, at least one.
+    pub fn new(capacity: usize) -> Places {
+        let (held, waiting, queue) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
+        Places { capacity: capacity.max(1), held, waiting, queue, requests: 0 }
     }
 
-    /// So many places from now on; those beyond them are given back as others want one.
-    pub fn set_most(&mut self, most: usize) {
-        self.most = most.max(1);
+    /// Sets the number of slots. Those in excess are given back as other machines request one.
+    pub fn set_most(&mut self, capacity: usize) {
+        self.capacity = capacity.max(1);
     }
 
-    /// Takes a place, or waits for one; tells whether it is had.
+    /// Takes a slot or waits for one; returns whether the machine has a slot.
     pub fn want(&mut self, now: Seconds, machine: MachineId, need: Need) -> bool {
         if self.held.contains_key(&machine) {
             return true;
         }
-        if self.held.len() < self.most {
-            self.leave_line(machine);
-            self.held.insert(machine, Held { since: now, used: now, asked: false });
+        if self.held.len() < self.capacity {
+            self.leave_queue(machine);
+            self.held.insert(machine, Held { since: now, last_used: now, reclaimed: false });
             return true;
         }
         match self.waiting.get(&machine) {
             Some((before, _)) if *before <= need => {}
             _ => {
-                self.leave_line(machine);
-                // Nobody waits for a place that is of no use to it.
+                self.leave_queue(machine);
+                // A machine that does not need a slot does not wait for one.
                 if need < Need::Spare {
-                    self.turns += 1;
-                    self.waiting.insert(machine, (need, self.turns));
-                    self.line.insert((need, self.turns, machine));
+                    self.requests += 1;
+                    self.waiting.insert(machine, (need, self.requests));
+                    self.queue.insert((need, self.requests, machine));
                 }
             }
         }
         false
     }
 
-    fn leave_line(&mut self, machine: MachineId) {
-        if let Some((need, turn)) = self.waiting.remove(&machine) {
-            self.line.remove(&(need, turn, machine));
+    fn leave_queue(&mut self, machine: MachineId) {
+        if let Some((need, request)) = self.waiting.remove(&machine) {
+            self.queue.remove(&(need, request, machine));
         }
     }
 
-    /// Whether somebody waits for a place.
+    /// Whether a machine waits for a slot.
     pub fn is_short(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Something was written to the machine, or it said something.
+    /// Records that a message was written to the machine or arrived from it.
     pub fn used(&mut self, now: Seconds, machine: MachineId) {
         if let Some(held) = self.held.get_mut(&machine) {
-            held.used = now;
+            held.last_used = now;
         }
     }
 
-    /// The connection that is to be given back now, if any: of those on which nothing is open the one used the longest
-    /// ago, and no more of them than wait.
+    /// Selects the connection to be given back now, if any: the least recently used one that is idle. At most
+    /// as many are reclaimed as machines wait.
     pub fn give_back(&mut self, now: Seconds, is_idle: impl Fn(MachineId) -> bool) -> Option<MachineId> {
-        let asked = self.held.values().filter(|h| h.asked).count();
-        if asked >= self.waiting.len() {
+        let reclaimed = self.held.values().filter(|h| h.reclaimed).count();
+        if reclaimed >= self.waiting.len() {
             return None;
         }
-        let free =
-            |(&machine, h): &(&MachineId, &Held)| !h.asked && now >= h.since + DWELL_S && is_idle(machine);
+        let free = |(&machine, h): &(&MachineId, &Held)| {
+            !h.reclaimed && now >= h.since + MIN_VISIT_S && is_idle(machine)
+        };
         let (machine, _) =
-            self.held.iter().filter(free).min_by(|(_, a), (_, b)| a.used.total_cmp(&b.used))?;
+            self.held.iter().filter(free).min_by(|(_, a), (_, b)| a.last_used.total_cmp(&b.last_used))?;
         let machine = *machine;
         if let Some(held) = self.held.get_mut(&machine) {
-            held.asked = true;
+            held.reclaimed = true;
         }
         Some(machine)
     }
 
-    /// It cannot be given back now: something is open on it again.
+    /// Withdraws the request to give back the slot: the connection is in use again.
     pub fn keep(&mut self, machine: MachineId) {
         if let Some(held) = self.held.get_mut(&machine) {
-            held.asked = false;
+            held.reclaimed = false;
         }
     }
 
     /// Whether a machine's connection is to be given back.
     pub fn is_asked(&self, machine: MachineId) -> bool {
-        self.held.get(&machine).is_some_and(|h| h.asked)
+        self.held.get(&machine).is_some_and(|h| h.reclaimed)
     }
 
-    /// A connection is closed, or no longer wanted; tells who has its place now.
+    /// Frees the slot of a connection that was closed or is no longer needed; returns the machine that gets
+    /// the slot.
     pub fn release(&mut self, now: Seconds, machine: MachineId) -> Option<MachineId> {
-        self.leave_line(machine);
+        self.leave_queue(machine);
         self.held.remove(&machine)?;
-        if self.held.len() >= self.most {
+        if self.held.len() >= self.capacity {
             return None;
         }
-        let (_, _, next) = self.line.first().copied()?;
-        self.leave_line(next);
-        self.held.insert(next, Held { since: now, used: now, asked: false });
+        let (_, _, next) = self.queue.first().copied()?;
+        self.leave_queue(next);
+        self.held.insert(next, Held { since: now, last_used: now, reclaimed: false });
         Some(next)
     }
 
-    /// Whether a machine has a place.
+    /// Whether a machine has a slot.
     pub fn is_held(&self, machine: MachineId) -> bool {
         self.held.contains_key(&machine)
     }
 
-    /// Places that are taken.
+    /// The number of slots taken.
     pub fn taken(&self) -> usize {
         self.held.len()
     }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! What subsystems decide: a module each, pure, without I/O, clock or random source of its own.
+//! Decision logic, one module per subsystem. It is pure: no I/O, and no clock or random source of its own.
 
 pub mod budgets;
 pub mod fleet;
--- a/src/decide/shutdown/mod.rs
+++ b/src/decide/shutdown/mod.rs
@@ -1,77 +1,77 @@
-//! When a planner that was told to stop does what: it goes on taking requests, has every answer given before it may be
-//! killed, and ends. Pure: times come in.
+//! The timeline of a planner's shutdown: it goes on accepting requests for a while, answers every request
+//! before it may be killed, and exits. Pure: times come in.
 //!
-//! - Every request has its answer before the earliest SIGKILL, also where clients send until then
+//! - Every request is answered before the earliest possible SIGKILL, even if clients send until then
 //!   (`all_is_answered_and_over_before_the_earliest_kill`).
-//! - A planner does not end while clients may count on it, unless it may be killed sooner
+//! - A planner does not exit while clients may still rely on it, unless it may be killed sooner
 //!   (`a_quiet_planner_stays_as_long_as_clients_may_come`).
 
 use crate::placer::Seconds;
 
-/// Seconds. The longest deadline counts as this at most.
-const LONGEST_DEADLINE_S: Seconds = 3.0;
-/// Seconds. A SIGKILL may come so long after the longest deadline.
+/// Upper bound, in seconds, of the longest deadline that is taken into account.
+const MAX_DEADLINE_S: Seconds = 3.0;
+/// Seconds. A SIGKILL may follow this long after the longest deadline.
 const KILL_GRACE_S: Seconds = 0.7;
-/// Seconds. Before the earliest SIGKILL all open requests are answered.
-const ANSWER_SPARE_S: Seconds = 0.25;
-/// Seconds. Before the earliest SIGKILL the planner has ended.
-const END_SPARE_S: Seconds = 0.1;
-/// Seconds. Clients that know nothing of the stop keep coming for so long.
-const TAKES_ON_S: Seconds = 0.9;
-/// Seconds. So long after its last request a planner waits for one more.
-const QUIET_S: Seconds = 0.15;
+/// Seconds between the last answer and the earliest SIGKILL.
+const ANSWER_MARGIN_S: Seconds = 0.25;
+/// Seconds between the planner's exit and the earliest SIGKILL.
+const EXIT_MARGIN_S: Seconds = 0.1;
+/// Seconds for which clients that have not noticed the shutdown keep sending requests.
+const ACCEPT_FOR_S: Seconds = 0.9;
+/// Seconds without a request after which a planner that is shutting down may exit.
+const IDLE_BEFORE_EXIT_S: Seconds = 0.15;
 
-/// What a planner that stops does now.
+/// What a planner that is shutting down does now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// It goes on.
     Wait,
-    /// It ends, unless a last look finds something to be answered.
+    /// It exits, unless a final check finds a request to be answered.
     EndIfQuiet,
-    /// It ends, whatever is open.
+    /// It exits, whatever is open.
     End,
 }
 
-/// The times of a stop, in seconds after the signal.
+/// The times of a shutdown, in seconds after the signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timeline {
-    takes_on_s: Seconds,
+    accepts_until_s: Seconds,
     answers_by_s: Seconds,
     ends_by_s: Seconds,
 }
 
 impl Timeline {
-    /// The times where the longest deadline is that.
+    /// The timeline for a given longest deadline.
     pub fn new(longest_deadline_s: Seconds) -> Timeline {
-        let earliest_kill_s = longest_deadline_s.clamp(0.0, LONGEST_DEADLINE_S) + KILL_GRACE_S;
-        let answers_by_s = earliest_kill_s - ANSWER_SPARE_S;
-        let ends_by_s = earliest_kill_s - END_SPARE_S;
-        Timeline { takes_on_s: TAKES_ON_S.min(answers_by_s), answers_by_s, ends_by_s }
+        let earliest_kill_s = longest_deadline_s.clamp(0.0, MAX_DEADLINE_S) + KILL_GRACE_S;
+        let answers_by_s = earliest_kill_s - ANSWER_MARGIN_S;
+        let ends_by_s = earliest_kill_s - EXIT_MARGIN_S;
+        Timeline { accepts_until_s: ACCEPT_FOR_S.min(answers_by_s), answers_by_s, ends_by_s }
     }
 
-    /// By when every request is answered; what comes later is refused at once.
+    /// The time by which every request is answered; later requests are refused at once.
     pub fn answers_by_s(&self) -> Seconds {
         self.answers_by_s
     }
 
-    /// Whether new connections are taken so long after the signal: well before the planner ends, clients are to find that
-    /// nobody listens, and not to wait in line.
+    /// Whether new connections are accepted at that time after the signal. Accepting ends well before the
+    /// planner exits, so that clients find that nobody listens, rather than wait in the listen queue.
     pub fn takes_connections(&self, elapsed_s: Seconds) -> bool {
-        elapsed_s < self.takes_on_s.min(self.answers_by_s)
+        elapsed_s < self.accepts_until_s.min(self.answers_by_s)
     }
 
-    /// Has every request answered by now.
+    /// Requires every request to be answered by now.
     pub fn hasten(&mut self, elapsed_s: Seconds) {
         self.answers_by_s = self.answers_by_s.min(elapsed_s);
     }
 
-    /// What is to be done so long after the signal, where nothing was owed or unread for `quiet_s`.
+    /// The step at that time after the signal, if no answer was due and no data unread for `quiet_s`.
     pub fn step(&self, elapsed_s: Seconds, quiet_s: Seconds) -> Step {
         if elapsed_s >= self.ends_by_s {
             return Step::End;
         }
         let all_answered = elapsed_s >= self.answers_by_s;
-        let done = elapsed_s >= self.takes_on_s && quiet_s >= QUIET_S;
+        let done = elapsed_s >= self.accepts_until_s && quiet_s >= IDLE_BEFORE_EXIT_S;
         if all_answered || done {
             Step::EndIfQuiet
         } else {
--- a/src/decide/shutdown/tests.rs
+++ b/src/decide/shutdown/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Guards what a planner took against the SIGKILL that may follow its SIGTERM.
+/// All accepted requests must be answered, and the planner must exit, before the SIGKILL that may follow its
+/// SIGTERM.
 #[test]
 fn all_is_answered_and_over_before_the_earliest_kill() {
     for longest in [0.0, 0.1, 1.0, 2.9, 3.0, 6.5, f64::INFINITY] {
@@ -13,7 +14,7 @@
     }
 }
 
-/// Guards clients that have not heard of the stop: a planner with nothing to do is there for them.
+/// An idle planner must stay available to clients that have not noticed the shutdown.
 #[test]
 fn a_quiet_planner_stays_as_long_as_clients_may_come() {
     let times = Timeline::new(2.0);
--- a/src/decide/silence/looks.rs
+++ b/src/decide/silence/looks.rs
@@ -1,100 +1,104 @@
-//! When a connection to a machine is looked at. Pure: times and what is open on the connection come in.
+//! Schedules the periodic checks of a connection to a machine. Pure: times and the state of the connection
+//! come in.
 //!
-//! Looks have a grid of their own for each connection, [`LOOK_EVERY_S`] apart from a drawn first one. Those at which
-//! nothing could be due are left out.
+//! Each connection has a grid of check times of its own: they are [`LOOK_EVERY_S`] apart, and the first one
+//! is random. Checks at which nothing could be due are skipped.
 //!
-//! - A look that finds something comes when it would if none were left out: nothing that is due is found later, and
-//!   nothing is found twice (`what_is_left_out_would_have_found_nothing`).
-//! - A connection on which nothing is open, nothing stands and no line lies half read is not looked at
+//! - A check that finds something runs at the same time as if none were skipped: nothing that is due is found
+//!   later, and nothing is found twice (`what_is_left_out_would_have_found_nothing`).
+//! - A connection with no open attempt or probe, no held tasks and no partial line is not checked
 //!   (`an_idle_connection_is_not_looked_at`).
-//! - A late look moves the grid, and no looks are made up for (`a_late_look_moves_the_grid`).
+//! - A late check shifts the grid, and missed checks are not made up for (`a_late_look_moves_the_grid`).
 //!
-//! Whoever holds a connection asks for the next look anew whenever something may have begun there: a test, a half
-//! line, the first task that stands, the first machine that waits for a place.
+//! The owner of a connection plans the next check anew whenever there may be something new to check: a probe
+//! is sent, a partial line arrives, the machine gets its first task, or a first machine waits for a
+//! connection slot.
 
 use super::Watch;
 use crate::placer::Seconds;
 
-/// Seconds. Between two looks.
+/// Seconds between two checks.
 pub const LOOK_EVERY_S: Seconds = 0.25;
-/// Seconds. A test that is not answered by then has failed.
-pub const TEST_S: Seconds = 1.0;
-/// Seconds. A line that is not whole so long after its last byte never will be.
-pub const HALF_LINE_S: Seconds = 0.5;
-/// Seconds. A look that is later than this counts as late.
-const LATE_S: Seconds = 0.005;
+/// Seconds after which an unanswered probe has failed.
+pub const PROBE_TIMEOUT_S: Seconds = 1.0;
+/// Seconds after its last byte at which a partial line is considered truncated for good.
+pub const PARTIAL_LINE_TIMEOUT_S: Seconds = 0.5;
+/// Seconds by which a check may be late without shifting the grid.
+const LATE_CHECK_S: Seconds = 0.005;
 
-/// What may call for a look at a connection.
+/// State of a connection that may call for a check.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Open {
-    /// Since when a test is out.
+    /// When the open probe was sent, if there is one.
     pub test_since: Option<Seconds>,
-    /// When the last byte of a line that is not whole came.
+    /// When the last byte of a partial line arrived, if there is one.
     pub half_line_since: Option<Seconds>,
-    /// Tasks stand at the machine.
+    /// The machine holds tasks.
     pub holds_tasks: bool,
-    /// Another machine waits for a place, which a look may find.
+    /// Another machine waits for a connection slot, and a check may free one.
     pub is_short: bool,
 }
 
 impl Open {
-    /// Whether a test that is out has failed.
+    /// Whether the open probe has timed out.
     pub fn is_test_late(&self, now: Seconds) -> bool {
-        self.test_since.is_some_and(|since| now - since > TEST_S)
+        self.test_since.is_some_and(|since| now - since > PROBE_TIMEOUT_S)
     }
 
-    /// Whether a line that is not whole never will be.
+    /// Whether a partial line has timed out.
     pub fn is_line_lost(&self, now: Seconds) -> bool {
-        self.half_line_since.is_some_and(|since| now - since > HALF_LINE_S)
+        self.half_line_since.is_some_and(|since| now - since > PARTIAL_LINE_TIMEOUT_S)
     }
 
-    /// From when on a look may find something; nothing where none can.
+    /// The time from which a check may find something; `None` if no check can.
     pub fn due(&self, watch: &Watch) -> Option<Seconds> {
-        let of_test = self.test_since.map(|since| since + TEST_S);
-        let of_line = self.half_line_since.map(|since| since + HALF_LINE_S);
-        let of_tasks = self.holds_tasks.then(|| watch.due());
-        let of_places = self.is_short.then_some(f64::NEG_INFINITY);
-        [of_test, of_line, of_tasks, of_places].into_iter().flatten().min_by(f64::total_cmp)
+        let probe_due = self.test_since.map(|since| since + PROBE_TIMEOUT_S);
+        let line_due = self.half_line_since.map(|since| since + PARTIAL_LINE_TIMEOUT_S);
+        let tasks_due = self.holds_tasks.then(|| watch.due());
+        let slots_due = self.is_short.then_some(f64::NEG_INFINITY);
+        [probe_due, line_due, tasks_due, slots_due].into_iter().flatten().min_by(f64::total_cmp)
     }
 }
 
-/// The looks at one connection.
+/// The schedule of the checks of one connection.
 #[derive(Clone, Debug)]
 pub struct Looks {
-    /// A point of the grid: the next look, unless it is left out.
+    /// A point of the grid: the time of the next check, unless that is skipped.
     next: Seconds,
     planned: Option<Seconds>,
 }
 
 impl Looks {
-    /// Looks of which the first may come then.
+    /// A schedule whose first check may run at `first`.
     pub fn new(first: Seconds) -> Looks {
         Looks { next: first, planned: None }
     }
 
-    /// When the next look comes, where something may be due from that time on; none where nothing may.
+    /// Plans the next check, given the time from which something may be due, and returns when it runs; `None`
+    /// if nothing may be due.
     pub fn plan(&mut self, now: Seconds, due: Option<Seconds>) -> Option<Seconds> {
-        // What passed since the last plan was left out, unless a look was due by now and only has not come yet.
+        // Grid points that passed since the last plan were skipped, unless a planned check was due by now and
+        // has merely not run yet.
         if self.planned.is_none_or(|at| at > now) {
-            self.next = self.from(now);
+            self.next = self.grid_point_from(now);
         }
-        self.planned = due.map(|due| self.from(due));
+        self.planned = due.map(|due| self.grid_point_from(due));
         self.planned
     }
 
-    /// The look that was planned comes now.
+    /// Records that the planned check runs now.
     pub fn looked(&mut self, now: Seconds) {
         let planned = self.planned.unwrap_or(now);
-        let at = if now - planned > LATE_S { now } else { planned };
+        let at = if now - planned > LATE_CHECK_S { now } else { planned };
         self.next = at + LOOK_EVERY_S;
-        // Should what follows the look take longer than that, the next is due at once.
+        // If the work that follows a check takes longer than the interval, the next check is due at once.
         self.planned = Some(self.next);
     }
 
-    /// The first point of the grid that is not before a time.
-    fn from(&self, time: Seconds) -> Seconds {
-        let left_out = ((time - self.next) / LOOK_EVERY_S).ceil().max(0.0);
-        self.next + left_out * LOOK_EVERY_S
+    /// The first point of the grid at or after a time.
+    fn grid_point_from(&self, time: Seconds) -> Seconds {
+        let skipped = ((time - self.next) / LOOK_EVERY_S).ceil().max(0.0);
+        self.next + skipped * LOOK_EVERY_S
     }
 }
 
--- a/src/decide/silence/tests.rs
+++ b/src/decide/silence/tests.rs
@@ -3,11 +3,11 @@
 #[test]
 fn many_silent_machines_are_waited_for() {
     let table = [
-        // dials, quiet, silent now, lost
+        // Failed dials, seconds of silence, machines silent now, lost.
         (2, 1.5, 1, false),
         (3, 1.8, 1, true),
-        (3, 1.8, MANY - 1, true),
-        (3, 1.8, MANY, false),
+        (3, 1.8, MANY_SILENT - 1, true),
+        (3, 1.8, MANY_SILENT, false),
         (9, 6.4, 400, false),
         (9, 6.5, 400, true),
         (2, 9.0, 400, false),
@@ -17,14 +17,14 @@
     }
 }
 
-/// What a planner's looks at one connection come to, with a machine that answers each dial so, until it is closed,
-/// swapped or its tasks are told lost; when that was, and the steps on the way. Tests, where `tests`, are answered
-/// each second.
-fn walk(dial: Dial, out: bool, dial_s: Seconds, tests: bool) -> (Seconds, Vec<Step>) {
+/// Runs the checks of one connection to a machine that answers each dial as given, until the connection is
+/// closed or replaced or its tasks are reported lost. Returns the time of that and the steps up to it. With
+/// `answers_probes`, the machine answers a probe every two seconds.
+fn simulate(dial: Dial, out: bool, dial_s: Seconds, answers_probes: bool) -> (Seconds, Vec<Step>) {
     let (mut watch, mut now, mut steps) = (Watch::new(0.0), 0.0, Vec::new());
     while now < 20.0 {
         now += 0.25;
-        if tests && now % 2.0 == 0.0 {
+        if answers_probes && now % 2.0 == 0.0 {
             watch.heard(now, false);
         }
         let mut step = watch.look(now, true, 1.0);
@@ -42,38 +42,42 @@
     (now, steps)
 }
 
-/// A dial that begins just before the time is up, after the longest wait, and takes its whole time, still has its
-/// word out within the protocol's 8 s. A mute connection is given up before that, whatever its machine does with
-/// dials.
+/// A dial that starts just before the limit, after the longest back-off, and runs into its time-out must
+/// still leave time to answer the owner within the protocol's 8 s. A silent connection is given up before
+/// that, whatever the machine does with dials.
 #[test]
 fn a_lost_task_is_told_in_time() {
     let (longest, dial, look): (Seconds, Seconds, Seconds) = (1.0, 0.25, 0.25);
     for out in [false, true] {
         for kind in [Dial::Up, Dial::Refused, Dial::Silent, Dial::Short] {
-            let (mut at, steps) = walk(kind, out, dial, false);
+            let (mut at, steps) = simulate(kind, out, dial, false);
             assert!(at <= LOST_S + 2.0 * look, "{kind:?}: {at}");
             if steps.ends_with(&[Step::Swap]) || steps.ends_with(&[Step::Lost]) {
-                continue; // Another connection is up, or it is told.
+                continue; // Another connection is up, or the loss is reported.
             }
-            // From then on every dial is silent, and waits double.
-            let (mut dials, mut wait) = (if kind == Dial::Silent { DIALS } else { 0 }, 0.05);
+            // From now on every dial fails, and the back-off doubles.
+            let (mut dials, mut wait) = (if kind == Dial::Silent { MIN_FAILED_DIALS } else { 0 }, 0.05);
             while !is_lost(dials, at, usize::MAX) {
                 at += dial + wait;
                 wait = longest.min(2.0 * wait);
                 dials += 1;
             }
-            assert!(at <= 8.0, "{kind:?}: told after {at} s");
+            assert!(at <= 8.0, "{kind:?}: reported after {at} s");
         }
     }
-    assert!(!is_lost(DIALS, LOST_S - 0.01, MANY) && is_lost(DIALS, LOST_S, MANY));
+    assert!(
+        !is_lost(MIN_FAILED_DIALS, LOST_S - 0.01, MANY_SILENT)
+            && is_lost(MIN_FAILED_DIALS, LOST_S, MANY_SILENT)
+    );
 }
 
-/// Guards owners against a machine that drains: it takes no new connection, answers tests on the old one, and tells
-/// of no end. Nor is one that has just begun to refuse, after a long silence, lost at once.
+/// A machine that drains takes no new connections, answers probes on the old one, and reports no ends of
+/// tasks; its tasks must be reported lost. A machine that only just began to refuse dials after a long
+/// silence must not be reported lost at once.
 #[test]
 fn a_drain_that_tells_of_no_end_is_not_waited_for() {
-    for tests in [false, true] {
-        let (at, steps) = walk(Dial::Refused, false, 0.25, tests);
+    for answers_probes in [false, true] {
+        let (at, steps) = simulate(Dial::Refused, false, 0.25, answers_probes);
         assert!(steps.ends_with(&[Step::Lost]) && (LOST_S..=LOST_S + 0.25).contains(&at), "{at}: {steps:?}");
         assert!(steps.iter().filter(|s| **s == Step::Nudge).count() >= 2);
     }
@@ -83,20 +87,21 @@
     assert_eq!(watch.look(35.0, true, 0.0), Step::Dial);
     assert_eq!(watch.look(35.5, true, 0.0), Step::Lost);
     watch.heard(35.6, true);
-    assert_eq!(watch.look(36.0, true, 0.0), Step::Wait, "it tells of a task again");
+    assert_eq!(watch.look(36.0, true, 0.0), Step::Wait, "it reports on a task again");
 }
 
-/// Guards the price of tests and the ends that a mute connection hides: the next dial takes its place. Where an
-/// attempt is open on it, which that would give up, it is closed later.
+/// A silent connection must be replaced by the next one that comes up, so that no probe is spent on it and no
+/// end of a task stays undelivered. If an attempt is open on it, which replacing it would abandon, it is
+/// closed later.
 #[test]
 fn a_dial_that_comes_up_takes_a_mute_connections_place() {
-    assert_eq!(walk(Dial::Up, false, 0.25, false), (1.25, vec![Step::Swap]));
-    let (at, steps) = walk(Dial::Up, true, 0.25, false);
+    assert_eq!(simulate(Dial::Up, false, 0.25, false), (1.25, vec![Step::Swap]));
+    let (at, steps) = simulate(Dial::Up, true, 0.25, false);
     assert_eq!((at, steps.ends_with(&[Step::HearOut, Step::Close])), (5.75, true));
-    assert_eq!(walk(Dial::Silent, false, 0.25, false).1, vec![Step::Close]);
+    assert_eq!(simulate(Dial::Silent, false, 0.25, false).1, vec![Step::Close]);
 }
 
-/// Guards machines against all planners that dial in step.
+/// Planners that dial a machine must not do so in step.
 #[test]
 fn dials_are_spread_by_each_planners_draw() {
     let second = |draw: f64| {
--- a/src/decide/spread/mod.rs
+++ b/src/decide/spread/mod.rs
@@ -1,31 +1,33 @@
-//! Each planner's own draws, by which it spreads what all planners would else do in step after a fault that they share:
-//! dials, looks, and tries. The bounds that a protocol sets stay: a draw only brings something forward within its span.
+//! Random jitter of each planner, for actions that all planners would otherwise take in step after a common
+//! fault: dials, checks and retries. Time limits of a protocol still hold: jitter only makes an action
+//! earlier within its span.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// The draws of one part of a planner.
+/// The random numbers of one component of a planner.
 #[derive(Clone, Debug)]
 pub struct Draws(Pcg64Mcg);
 
 impl Draws {
-    /// Draws by the planner's seed, which is new with each start, for its part of that number.
+    /// Random numbers from the planner's seed, which is new at each start, for the component with that
+    /// number.
     pub fn new(seed: u64, part: u64) -> Draws {
         Draws(Pcg64Mcg::seed_from_u64(seed ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
     }
 
-    /// From 0 to 1.
+    /// A number from 0 to 1.
     pub fn draw(&mut self) -> f64 {
         self.0.gen()
     }
 
-    /// From nothing to the whole span.
+    /// A duration from zero to the whole span.
     pub fn part(&mut self, span: Duration) -> Duration {
         span.mul_f64(self.draw())
     }
 
-    /// From half of the span to the whole of it.
+    /// A duration from half of the span to the whole span.
     pub fn half(&mut self, span: Duration) -> Duration {
         span.mul_f64(0.5 + 0.5 * self.draw())
     }
--- a/src/decide/spread/tests.rs
+++ b/src/decide/spread/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards machines against planners in step: a few hundred draws of as many planners fall all over the span.
+/// Planners must not act in step: the first draws of a few hundred planners are spread over the whole span.
 #[test]
 fn planners_draw_apart() {
     let mut tenths = [0; 10];
--- a/src/decide/start_times/mod.rs
+++ b/src/decide/start_times/mod.rs
@@ -1,39 +1,39 @@
-//! When machines came up, on this planner's own clock. The list tells it by the wall clock, which may step, here or where
-//! the list is made. Pure: times come in.
+//! Start times of machines on this planner's own clock. The machine list gives them by the wall clock, which
+//! may step, here or where the list is made. Pure: times come in.
 //!
-//! - While the clocks agree, what the list tells counts (`what_the_list_tells_counts_while_clocks_agree`).
-//! - A start that the list tells live and that cannot be so by this planner's clock, or any after the wall clock stepped, counts
-//!   from when it was heard: such a machine counts as cold too long rather than too short
-//!   (`a_start_after_the_clock_stepped_counts_from_when_it_was_heard`).
-//! - A machine of which another start is told came up anew, whichever way the clock stepped in between
+//! - While the clocks agree, the listed start time is used (`what_the_list_tells_counts_while_clocks_agree`).
+//! - If a live notice lists a start time that is impossible by this planner's clock, or if the wall clock has
+//!   stepped, the time at which the notice arrived is used instead. Such a machine is treated as cold for too
+//!   long rather than too short a time (`a_start_after_the_clock_stepped_counts_from_when_it_was_heard`).
+//! - A machine whose listed start time changes has restarted, whichever way the clock stepped in between
 //!   (`another_start_is_a_later_one`).
 
 use crate::placer::{MachineId, Seconds};
 use std::collections::BTreeMap;
 
-/// Seconds. Two starts of a machine are apart by so much at least.
+/// The least time between two starts of a machine, in seconds.
 const APART_S: Seconds = 0.001;
 
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// By the wall clock of the list.
-    told: Seconds,
+    /// By the wall clock, as listed.
+    listed: Seconds,
     /// By this planner's clock.
-    taken: Seconds,
+    local: Seconds,
 }
 
-/// What is known of a notice beside its words.
+/// Circumstances in which a notice of the machine list arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Heard {
     /// The time by this planner's clock.
     pub now: Seconds,
-    /// It was told as it happened: nothing older is told behind it.
+    /// The notice was sent as the event happened; it is not part of a replayed list of older events.
     pub is_live: bool,
     /// The wall clock has stepped since this planner started.
     pub has_stepped: bool,
 }
 
-/// The starts of all machines that are listed.
+/// The start times of all listed machines.
 #[derive(Debug)]
 pub struct StartTimes {
     warm_within_s: Seconds,
@@ -41,36 +41,37 @@
 }
 
 impl StartTimes {
-    /// Machines are warm so long after their start.
+    /// `warm_within_s` is the time after its start within which a machine becomes warm.
     pub fn new(warm_within_s: Seconds) -> StartTimes {
         StartTimes { warm_within_s, starts: BTreeMap::new() }
     }
 
-    /// When a machine came up, by this planner's clock; `told` is what the list says, not positive for long ago.
-    pub fn take(&mut self, machine: MachineId, told: Seconds, heard: Heard) -> Seconds {
-        if told <= 0.0 {
-            return told;
+    /// Returns when a machine started, by this planner's clock; `listed` is the start time in the list, 0 or
+    /// less for long ago.
+    pub fn take(&mut self, machine: MachineId, listed: Seconds, heard: Heard) -> Seconds {
+        if listed <= 0.0 {
+            return listed;
         }
         let before = self.starts.get(&machine).copied();
-        if let Some(known) = before.filter(|known| known.told == told) {
-            return known.taken;
+        if let Some(known) = before.filter(|known| known.listed == listed) {
+            return known.local;
         }
-        let earliest = before.map_or(0.0, |known| known.taken + APART_S);
-        let taken = self.believed(told, heard).max(earliest);
-        self.starts.insert(machine, Start { told, taken });
-        taken
+        let earliest = before.map_or(0.0, |known| known.local + APART_S);
+        let local = self.local_time(listed, heard).max(earliest);
+        self.starts.insert(machine, Start { listed, local });
+        local
     }
 
-    /// A machine has left the list.
+    /// Forgets a machine that has left the list.
     pub fn forget(&mut self, machine: MachineId) {
         self.starts.remove(&machine);
     }
 
-    fn believed(&self, told: Seconds, heard: Heard) -> Seconds {
-        let age = heard.now - told;
+    fn local_time(&self, listed: Seconds, heard: Heard) -> Seconds {
+        let age = heard.now - listed;
         let is_likely = age >= 0.0 && (!heard.is_live || age <= self.warm_within_s);
         if is_likely && !heard.has_stepped {
-            told
+            listed
         } else {
             heard.now
         }
