--- a/src/decide/budgets/ledger.rs
+++ b/src/decide/budgets/ledger.rs
@@ -111,7 +111,7 @@
 /// One budget and its uses at this planner.
 #[derive(Clone, Debug)]
 struct Account {
-    wanted: Wanted,
+    spec: Wanted,
     share: Share,
     /// Uses that have not ended: the latest end of each, and its number.
     uses: BTreeSet<(Micros, u64)>,
@@ -187,28 +187,28 @@
 
     /// Sets the budgets of a new operators' file. Budgets that it drops are kept until all their loans have
     /// expired.
-    pub fn set(&mut self, now: Micros, wanted: impl IntoIterator<Item = Wanted>) {
+    pub fn set(&mut self, now: Micros, specs: impl IntoIterator<Item = Wanted>) {
         let mut all: BTreeMap<BudgetId, Wanted> =
-            wanted.into_iter().map(|w| (w.kind.id(&w.place), w)).collect();
+            specs.into_iter().map(|w| (w.kind.id(&w.place), w)).collect();
         for (id, account) in &mut self.accounts {
             match all.remove(id) {
-                Some(wanted) => {
-                    account.share.set_whole(wanted.whole, wanted.hold);
-                    (account.wanted, account.removed_at, account.mismatch_logged) = (wanted, None, false);
+                Some(spec) => {
+                    account.share.set_total(spec.whole, spec.hold);
+                    (account.spec, account.removed_at, account.mismatch_logged) = (spec, None, false);
                 }
                 None => _ = account.removed_at.get_or_insert(now),
             }
         }
         let (fleet, terms) = (&self.fleet, self.fleet.terms());
-        for (id, wanted) in all {
-            let floor = if wanted.kind == Kind::RetryFloor { 1000 } else { fleet.floor_permille() };
+        for (id, spec) in all {
+            let floor = if spec.kind == Kind::RetryFloor { 1000 } else { fleet.floor_permille() };
             let mut share =
-                Share::new(fleet.place(), fleet.life(), (wanted.whole, id), (terms, floor), self.started);
-            share.set_whole(wanted.whole, wanted.hold);
+                Share::new(fleet.place(), fleet.life(), (spec.whole, id), (terms, floor), self.started);
+            share.set_total(spec.whole, spec.hold);
             // An initial guess, where the operators' file sets no hold time.
-            let mean_use_us = if wanted.hold > 0 { wanted.hold as f64 } else { terms.lease as f64 / 4.0 };
+            let mean_use_us = if spec.hold > 0 { spec.hold as f64 } else { terms.lease as f64 / 4.0 };
             let account = Account {
-                wanted,
+                spec,
                 share,
                 uses: BTreeSet::new(),
                 peak: 0,
@@ -255,7 +255,7 @@
     pub fn give_back(&mut self, now: Micros, used: Use) {
         let Some(account) = self.accounts.get_mut(&used.budget) else { return };
         // A unit of a rate becomes free by the passage of time alone.
-        if account.wanted.hold == 0 && account.uses.remove(&(used.until, used.number)) {
+        if account.spec.hold == 0 && account.uses.remove(&(used.until, used.number)) {
             account.mean_use_us +=
                 MEAN_USE_WEIGHT * (now.saturating_sub(used.since) as f64 - account.mean_use_us);
         }
@@ -276,7 +276,7 @@
     pub fn floor(&self, now: Micros, id: BudgetId) -> u64 {
         let Some(account) = self.accounts.get(&id) else { return 0 };
         let (me, members) = self.fleet.place();
-        if now < self.started + self.fleet.terms().lender_span(account.wanted.hold) {
+        if now < self.started + self.fleet.terms().lender_span(account.spec.hold) {
             return 0;
         }
         floor(base(account.share.whole(now), members, me, id), 1000)
@@ -302,7 +302,7 @@
                 let leaving = self.fleet.is_leaving();
                 let Some(account) = self.accounts.get_mut(&id) else { return };
                 // A planner that leaves, or whose file dropped the budget, grants no new loans.
-                if leaving || account.removed_at.is_some() || account.wanted.kind == Kind::RetryFloor {
+                if leaving || account.removed_at.is_some() || account.spec.kind == Kind::RetryFloor {
                     return;
                 }
                 account.remove_expired(now);
@@ -326,7 +326,7 @@
         let terms = self.fleet.terms();
         let lapse = terms.lender_term();
         self.accounts.retain(|_, account| {
-            account.removed_at.is_none_or(|at| now < at + lapse + terms.lender_span(account.wanted.hold))
+            account.removed_at.is_none_or(|at| now < at + lapse + terms.lender_span(account.spec.hold))
         });
         for (&id, account) in &mut self.accounts {
             account.remove_expired(now);
@@ -336,16 +336,15 @@
             }
             account.update_share();
             let whole = account.share.whole(now);
-            if whole < account.wanted.whole && !account.mismatch_logged {
+            if whole < account.spec.whole && !account.mismatch_logged {
                 account.mismatch_logged = true;
-                let (place, kind, own) =
-                    (&account.wanted.place, account.wanted.kind.word(), account.wanted.whole);
+                let (place, kind, own) = (&account.spec.place, account.spec.kind.word(), account.spec.whole);
                 self.lines.push(format!(
                     "budget {place}.{kind}: another planner's operators file sets {whole}, \
                      this planner's sets {own}; the lower value applies"
                 ));
             }
-            if account.wanted.kind != Kind::RetryFloor {
+            if account.spec.kind != Kind::RetryFloor {
                 let leases = self.fleet.ground();
                 let asks = account.share.tick(leases, now);
                 out.extend(asks.into_iter().map(|(to, ask)| (to, Word::Ask(id, ask))));
@@ -374,7 +373,7 @@
     /// Units that may be in use here now.
     pub fn usable(&self, now: Micros, id: BudgetId) -> u64 {
         let Some(account) = self.accounts.get(&id) else { return 0 };
-        if account.wanted.kind == Kind::RetryFloor {
+        if account.spec.kind == Kind::RetryFloor {
             return self.floor(now, id);
         }
         let leases = self.fleet.ground();
@@ -384,9 +383,9 @@
     /// The state of all budgets.
     pub fn states(&self, now: Micros) -> Vec<State> {
         let state = |(&id, account): (&BudgetId, &Account)| State {
-            place: account.wanted.place.clone(),
-            kind: account.wanted.kind,
-            whole: (account.wanted.whole, account.share.whole(now)),
+            place: account.spec.place.clone(),
+            kind: account.spec.kind,
+            whole: (account.spec.whole, account.share.whole(now)),
             usable: self.usable(now, id),
             used: account.uses.iter().filter(|(end, _)| *end > now).count() as u64,
             demand: account.estimated_demand.ceil() as u64,
--- a/src/decide/budgets/share.rs
+++ b/src/decide/budgets/share.rs
@@ -134,7 +134,7 @@
     last_lender: Member,
 }
 
-/// The base of a planner: its floor and the units that hang on its slot. If the total does not divide evenly,
+/// The base of a planner: its floor and the units tied to its slot. If the total does not divide evenly,
 /// `salt` decides which planners get one unit more, so that several budgets smaller than the fleet do not all
 /// go to the same planners.
 pub fn base(whole: u64, members: Member, me: Member, salt: u64) -> u64 {
@@ -202,7 +202,7 @@
 
     /// Sets total and hold time from a new operators' file. A lower total applies to the base at once;
     /// outstanding loans run to their end.
-    pub fn set_whole(&mut self, whole: u64, hold: Micros) {
+    pub fn set_total(&mut self, whole: u64, hold: Micros) {
         (self.whole, self.hold) = (whole, hold);
     }
 
@@ -211,7 +211,7 @@
         (self.demand, self.used, self.used_until) = (demand, used, used_until);
     }
 
-    /// A planner's floor, and the units of its base that hang on its slot.
+    /// A planner's floor, and the units of its base tied to its slot.
     fn floor_and_slot_units(&self, now: Micros, of: Member) -> (u64, u64) {
         let base = base(self.whole(now), self.members, of, self.salt);
         let floor = floor(base, self.floor_permille);
@@ -244,7 +244,7 @@
 
     /// Units that may be in use now.
     pub fn usable(&self, leases: &SlotLeases, now: Micros) -> u64 {
-        self.unlent(leases, now, now) + self.borrowed.values().map(|h| h.loan.units_at(now)).sum::<u64>()
+        self.unlent(leases, now, now) + self.borrowed.values().map(|b| b.loan.units_at(now)).sum::<u64>()
     }
 
     /// Whether one more unit may be taken for `lasting` microseconds from now; a caller that is refused tries
@@ -255,7 +255,7 @@
     /// all uses in flight at any time.
     pub fn admits(&self, leases: &SlotLeases, now: Micros, lasting: Micros) -> bool {
         let until = self.used_until.max(now + lasting);
-        let borrowed = self.borrowed.values().map(|h| h.loan.units_through(now, until)).sum::<u64>();
+        let borrowed = self.borrowed.values().map(|b| b.loan.units_through(now, until)).sum::<u64>();
         self.used < self.unlent(leases, now, until) + borrowed
     }
 
@@ -276,7 +276,7 @@
             slots: leases.slots.iter().copied().filter(|(other, _)| *other != slot).collect(),
         };
         let borrowed =
-            self.borrowed.values().map(|h| h.loan.units_through(now, self.used_until)).sum::<u64>();
+            self.borrowed.values().map(|b| b.loan.units_through(now, self.used_until)).sum::<u64>();
         self.lent_out(now) + self.used.saturating_sub(borrowed) <= self.floor_and_slots(&others, now, last)
     }
 
@@ -388,7 +388,7 @@
         let (terms, until) = (self.terms, self.used_until);
         // Units that last until the end of all uses in flight must still cover these uses after a loan is
         // reduced.
-        let lasting_units: u64 = self.borrowed.values().map(|h| h.loan.units_through(now, until)).sum();
+        let lasting_units: u64 = self.borrowed.values().map(|b| b.loan.units_through(now, until)).sum();
         let mut slack = (self.unlent(leases, now, until.max(now)) + lasting_units).saturating_sub(self.used);
         for (&lender, borrowed) in &mut self.borrowed {
             let units = borrowed.loan.units_at(now);
@@ -432,7 +432,7 @@
     fn next_lender(&mut self, now: Micros) -> Option<Member> {
         for _ in 0..self.members {
             self.last_lender = (self.last_lender + 1) % self.members;
-            let pending_since = self.borrowed.get(&self.last_lender).and_then(|h| h.pending_since);
+            let pending_since = self.borrowed.get(&self.last_lender).and_then(|b| b.pending_since);
             if self.last_lender != self.me && pending_since.is_none_or(|at| now >= at + self.terms.lease) {
                 return Some(self.last_lender);
             }
--- a/src/decide/budgets/tests.rs
+++ b/src/decide/budgets/tests.rs
@@ -20,7 +20,7 @@
     (lender, borrower, now + 2 * MS)
 }
 
-/// A use must not go on after the loan that it counts on has ended, and a loan in use must not be given back.
+/// A use must not go on after the loan that it relies on has ended, and a loan in use must not be given back.
 #[test]
 fn a_use_ends_before_the_loan_that_it_counts_on() {
     let leases = SlotLeases::default();
@@ -70,7 +70,7 @@
     assert!(granted.is_some_and(|grant| grant.units == 0), "{granted:?}");
 }
 
-/// Neither a use nor a loan may outlast the slot that it counts on, and a slot that one of them needs must
+/// Neither a use nor a loan may outlast the slot that it relies on, and a slot that one of them needs must
 /// not be given back. Otherwise the slot's next holder would use the same units.
 #[test]
 fn nothing_outlasts_the_slot_that_it_counts_on() {
@@ -105,7 +105,7 @@
     assert_eq!((lender.whole(now), lender.hold(now)), (1, 40 * MS));
     let later = now + 2 * TERMS.lease;
     assert_eq!((lender.whole(later), lender.hold(later)), (2, 0));
-    lender.set_whole(0, 0);
+    lender.set_total(0, 0);
     assert_eq!(lender.usable(&leases, later), 0, "its own lower total applies at once");
 }
 
--- a/src/decide/fleet/mod.rs
+++ b/src/decide/fleet/mod.rs
@@ -3,7 +3,7 @@
 //! come in, messages to other planners go out.
 //!
 //! Every listed planner has a slot. One incarnation of one planner holds a slot at a time: the planner's own
-//! while that runs, otherwise that of another planner, the caretaker. Whatever hangs on a slot (a part of
+//! while that runs, otherwise that of another planner, the caretaker. Whatever is tied to a slot (a part of
 //! each budget, [`crate::decide::budgets`]) is used by its holder.
 //!
 //! Invariants, and the rules that ensure them (`model`, and the table in `docs/design/budgets.md`):
@@ -53,7 +53,7 @@
     pub rate_error_ppm: u64,
     /// Microseconds between asks for more units of a budget.
     pub ask_every: Micros,
-    /// Thousandths of its base that a planner may use without the consent of others; the rest hangs on its
+    /// Thousandths of its base that a planner may use without the consent of others; the rest is tied to its
     /// slot.
     pub floor_permille: u64,
 }
@@ -174,7 +174,7 @@
 
 impl Fleet {
     /// The part of planner `me` of `members`, in an incarnation that starts at `now`. Without voters nothing
-    /// hangs on slots.
+    /// is tied to slots.
     pub fn new(
         (me, members): (Member, Member),
         life: Life,
@@ -217,7 +217,7 @@
         self.terms
     }
 
-    /// Thousandths of each planner's base that hang on no slot.
+    /// Thousandths of each planner's base that are tied to no slot.
     pub fn floor_permille(&self) -> u64 {
         if self.voters.is_empty() {
             1000
@@ -261,7 +261,7 @@
         self.slot_claims.values_mut().for_each(|slot_claim| slot_claim.giving_back = true);
     }
 
-    /// Slots to be given back as soon as no use and no loan counts on them.
+    /// Slots to be given back as soon as no use and no loan relies on them.
     pub fn slots_to_give_back(&self) -> Vec<Member> {
         self.slot_claims
             .iter()
@@ -270,7 +270,7 @@
             .collect()
     }
 
-    /// Gives back a slot on which nothing counts any more.
+    /// Gives back a slot on which nothing relies any more.
     pub fn give_back(&mut self, now: Micros, slot: Member) -> Vec<(Member, Claim)> {
         if self.slot_claims.remove(&slot).is_none() {
             return Vec::new();
--- a/src/decide/fleet/voter.rs
+++ b/src/decide/fleet/voter.rs
@@ -103,9 +103,9 @@
             if !self.is_free(now, slot) {
                 continue;
             }
-            let here =
+            let present =
                 self.votes.iter().filter(|(&own, g)| g.to.0 == own && now < g.until).map(|(&own, _)| own);
-            if here.max_by_key(|member| stable_hash((slot, member))) == Some(to) {
+            if present.max_by_key(|member| stable_hash((slot, member))) == Some(to) {
                 return Some(slot);
             }
             scanned += 1;
--- a/src/decide/silence/looks.rs
+++ b/src/decide/silence/looks.rs
@@ -10,8 +10,8 @@
 //!   (`an_idle_connection_is_not_looked_at`).
 //! - A late check shifts the grid, and missed checks are not made up for (`a_late_look_moves_the_grid`).
 //!
-//! The owner of a connection plans the next check anew whenever there may be something new to check: a probe
-//! is sent, a partial line arrives, the machine gets its first task, or a first machine waits for a
+//! The code that drives a connection plans the next check anew whenever there may be something new to check:
+//! a probe is sent, a partial line arrives, the machine gets its first task, or a first machine waits for a
 //! connection slot.
 
 use super::Watch;
--- a/src/decide/silence/mod.rs
+++ b/src/decide/silence/mod.rs
@@ -24,7 +24,7 @@
 /// Seconds without a message from the machine after which its tasks are reported lost. The answer must reach
 /// the owner within 8 s, and the last dial and one more check still follow this time.
 pub const LOST_S: Seconds = 6.5;
-/// Seconds of silence after which a machine that holds tasks is dialled; also the least interval between
+/// Seconds of silence after which a machine that holds tasks is dialled; the base interval of further
 /// dials.
 pub const DIAL_AFTER_S: Seconds = 1.0;
 /// Seconds of silence after which a connection is closed that a new one cannot replace, because an attempt is
