--- a/src/decide/budgets/share.rs
+++ b/src/decide/budgets/share.rs
@@ -345,8 +345,8 @@
         lent.loan.cap(ask.holds);
         let before = lent.loan.units_at(now);
         let until = self.loan_end(leases, now, ask.wants - before.min(ask.wants));
-        // Units that this planner uses or could use, and those lent, to others or to the asker before, are
-        // not available.
+        // Not available: units that this planner uses or could use, and those lent to others, an earlier
+        // incarnation of the asker included. The asker's present loan is part of the new one.
         let kept = self.demand.max(self.used) + self.lent_out(now) - before;
         let spare = self.floor_and_slots(leases, now, until).saturating_sub(kept);
         // Where other planners are underserved, too, the spare units are divided among them.
