--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -8,14 +8,16 @@
 use burlhook::decide::limits::{
     Budget, Figures, Front, Limits, Matching, Model, Pattern, Rate, Route, Subject, Table,
 };
-use burlhook::{Effect, Place, Room, Settings};
+use burlhook::{Idempotency, Place, Room, Settings};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use std::hint::black_box;
 use std::sync::Arc;
 
 fn settings() -> Settings {
-    let mut settings = common::settings(Effect::Repeatable);
-    settings.classes.extend(common::settings(Effect::Keyed { group: Place::All, window_s: 6.0 }).classes);
+    let mut settings = common::settings(Idempotency::Repeatable);
+    settings
+        .classes
+        .extend(common::settings(Idempotency::Keyed { group: Place::All, window_s: 6.0 }).classes);
     settings
 }
 
@@ -86,8 +88,8 @@
             now += 1e-3;
             let of = limits.resolve(&subject).expect("limits");
             if let Ok(Some(ticket)) = limits.admit(now, &of, now + 1.0) {
-                limits.first_try(now, &ticket);
-                limits.over(now + 0.1, ticket);
+                limits.count_first_attempt(now, &ticket);
+                limits.return_ticket(now + 0.1, ticket);
             }
         });
     });
--- a/lab/src/capacity/admission.rs
+++ b/lab/src/capacity/admission.rs
@@ -99,8 +99,8 @@
     let ticket = limits.admit(now, &resolved, now + 1.0);
     let ticket = ticket.map_err(|turned| io::Error::other(format!("{turned:?}")))?;
     let ticket = ticket.ok_or_else(|| io::Error::other("nothing was counted"))?;
-    limits.first_try(now, &ticket);
-    limits.over(now, ticket);
+    limits.count_first_attempt(now, &ticket);
+    limits.return_ticket(now, ticket);
     Ok(())
 }
 
--- a/lab/src/capacity/gang_machines.rs
+++ b/lab/src/capacity/gang_machines.rs
@@ -41,16 +41,16 @@
     let mut hollow = HollowPlanner::with_machines(machines)?;
     hollow.configure(&operators::groups(MEMBERS))?;
     hollow.take_cost();
-    let before = hollow.planner.looked_at();
+    let before = hollow.planner.machines_examined();
     hollow.group("gang", MEMBERS, ROOM)?;
     hollow.advance(1.0)?;
     let cost = hollow.take_cost();
     if hollow.placed != MEMBERS as u64 || hollow.planner.pending() > 0 {
         return Err(io::Error::other(format!("{} of {MEMBERS} members stand", hollow.placed)));
     }
-    let looked_at = hollow.planner.looked_at() - before;
+    let machines_examined = hollow.planner.machines_examined() - before;
     Ok(vec![
-        Sample::count("machines looked at a gang", "count", looked_at as f64),
+        Sample::count("machines looked at a gang", "count", machines_examined as f64),
         Sample::count("allocations a gang", "count", cost.allocations_each(1)),
         Sample::count("bytes allocated a gang", "bytes", cost.bytes_each(1)),
         Sample::time("processor time a gang", "ms", cost.processor.as_secs_f64() * 1e3),
--- a/lab/src/capacity/pick_machines.rs
+++ b/lab/src/capacity/pick_machines.rs
@@ -34,10 +34,10 @@
 
 fn run(machines: usize) -> io::Result<Vec<Sample>> {
     needs_counts()?;
-    let (looked_at, pick) = picks(machines)?;
+    let (machines_examined, pick) = picks(machines)?;
     let ask = asks(machines)?;
     Ok(vec![
-        Sample::count("machines looked at a pick", "count", looked_at as f64 / MEASURED as f64),
+        Sample::count("machines looked at a pick", "count", machines_examined as f64 / MEASURED as f64),
         Sample::count("allocations a pick", "count", pick.allocations_each(MEASURED)),
         Sample::count("bytes allocated a pick", "bytes", pick.bytes_each(MEASURED)),
         Sample::time("processor time a pick", "us", pick.microseconds_each(MEASURED)),
@@ -78,7 +78,7 @@
         service: ServiceId(7),
         room: Room { cores: ROOM, memory: ROOM },
         deadline: now + 5.0,
-        life_s: None,
+        expected_runtime_s: None,
         limits: TaskLimits::default(),
     }
 }
@@ -86,15 +86,15 @@
 fn picks(machines: usize) -> io::Result<(u64, Cost)> {
     let mut now = 1_000.0;
     let mut placer = placer(machines, now, |_| {})?;
-    let (mut cost, mut looked_at, mut actions) = (Cost::default(), 0, Vec::with_capacity(16));
+    let (mut cost, mut machines_examined, mut actions) = (Cost::default(), 0, Vec::with_capacity(16));
     for number in 0..WARM + MEASURED {
         now += GAP_S;
         let (request, task) = (RequestId(number as u64 + 1), task(now));
-        let before = placer.looked_at;
+        let before = placer.machines_examined;
         let (_, of_pick) = cost_of(|| placer.handle(now, Event::Submitted { request, task }, &mut actions));
         if number >= WARM {
             cost.add(of_pick);
-            looked_at += placer.looked_at - before;
+            machines_examined += placer.machines_examined - before;
         }
         let bound = actions.drain(..).any(|action| matches!(action, Action::Bind { .. }));
         if !bound {
@@ -104,7 +104,7 @@
         placer.handle(now, Event::Ended(ended(request)), &mut actions);
         actions.clear();
     }
-    Ok((looked_at, cost))
+    Ok((machines_examined, cost))
 }
 
 /// The end of a task that ran.
--- a/lab/src/twin.rs
+++ b/lab/src/twin.rs
@@ -4,8 +4,8 @@
 //! be; what a planner says of itself is believed only where it makes the sum larger.
 
 use crate::net::{Schedule, Weather, What};
-use burlhook::decide::budgets::{Books, Kind, Plan, Use, Wanted, Word};
-use burlhook::decide::fleet::{Life, Member, Micros, Terms};
+use burlhook::decide::budgets::{BudgetLedger, BudgetSpec, Kind, PeerMessage, Plan, Use};
+use burlhook::decide::fleet::{Incarnation, Member, Micros, Terms};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -71,21 +71,21 @@
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Words(Member, Member, Life, Vec<Word>),
+    Words(Member, Member, Incarnation, Vec<PeerMessage>),
     Tick(Member),
-    Over(Member, Life, u64),
+    Over(Member, Incarnation, u64),
     Step(usize),
     Start(Member),
-    Wake(Member, Life),
+    Wake(Member, Incarnation),
     Turn,
 }
 
 struct Planner {
-    books: Option<Books>,
+    books: Option<BudgetLedger>,
     /// Its clock: parts of a million of true time, and where it began.
     rate: u64,
     began: Micros,
-    life: Life,
+    life: Incarnation,
     wants: u64,
     /// Jobs in flight, and the use of each.
     uses: BTreeMap<u64, Use>,
@@ -185,9 +185,9 @@
         (u128::from(own) * 1_000_000).div_ceil(u128::from(self.planners[usize::from(of)].rate)) as Micros
     }
 
-    fn say(&mut self, from: Member, out: Vec<(Member, Word)>) {
+    fn say(&mut self, from: Member, out: Vec<(Member, PeerMessage)>) {
         let life = self.planners[usize::from(from)].life;
-        let mut by_member: BTreeMap<Member, Vec<Word>> = BTreeMap::new();
+        let mut by_member: BTreeMap<Member, Vec<PeerMessage>> = BTreeMap::new();
         out.into_iter().for_each(|(to, word)| by_member.entry(to).or_default().push(word));
         for (to, words) in by_member {
             self.words += words.len() as u64;
@@ -237,8 +237,8 @@
         self.act(of);
     }
 
-    fn wanted(&self) -> Vec<Wanted> {
-        let one = |kind, whole, hold| Wanted { place: Arc::from(PLACE), kind, whole, hold };
+    fn wanted(&self) -> Vec<BudgetSpec> {
+        let one = |kind, whole, hold| BudgetSpec { place: Arc::from(PLACE), kind, total: whole, hold };
         let mut all = vec![one(Kind::InFlight, self.options.whole, 0)];
         let (units, hold) = self.options.rate;
         if units > 0 {
@@ -303,7 +303,7 @@
                 let members = self.options.planners as Member;
                 let voters = (0..self.options.voters as Member).collect();
                 let plan = Plan { place: (of, members), voters, terms: self.options.terms };
-                let mut books = Books::new(&plan, life, clock);
+                let mut books = BudgetLedger::new(&plan, life, clock);
                 books.set(clock, self.wanted());
                 let planner = &mut self.planners[usize::from(of)];
                 if planner.books.is_some() {
--- a/src/bin/burlhook-adapter/wire.rs
+++ b/src/bin/burlhook-adapter/wire.rs
@@ -180,7 +180,7 @@
         service: ServiceId(asked.program),
         room: Room { cores: asked.cpu, memory: asked.ram_units },
         deadline: asked.expires_s,
-        life_s: asked.life_s,
+        expected_runtime_s: asked.life_s,
         limits: burlhook::TaskLimits::default(),
     })
 }
--- a/src/decide/budgets/ledger.rs
+++ b/src/decide/budgets/ledger.rs
@@ -2,7 +2,7 @@
 //! between planners that concern them.
 
 use super::share::{base, floor, Ask, Grant, Share};
-use crate::decide::fleet::{stable_hash, Claim, Fleet, Life, Member, Micros, Terms, Vote};
+use crate::decide::fleet::{stable_hash, Claim, Fleet, Incarnation, Member, Micros, Terms, Vote};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
 
 impl Kind {
     /// The setting's name in the operators' file.
-    pub fn word(self) -> &'static str {
+    pub fn setting_name(self) -> &'static str {
         match self {
             Kind::InFlight => "inFlight",
             Kind::Rate => "ratePerS",
@@ -46,13 +46,13 @@
 
 /// A budget that the operators' file defines.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct BudgetSpec {
     /// Its place in the operators' file.
     pub place: Arc<str>,
     /// What it limits.
     pub kind: Kind,
     /// The total of units for the whole fleet.
-    pub whole: u64,
+    pub total: u64,
     /// Hold time of each use in microseconds, where it is the same for all; 0 where a use ends when it is
     /// given back.
     pub hold: Micros,
@@ -71,7 +71,7 @@
 
 /// A message from one planner to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Word {
+pub enum PeerMessage {
     /// To a voter: claims a slot or gives it back.
     Claim(Claim),
     /// A voter's answer.
@@ -82,7 +82,7 @@
     Grant(BudgetId, Grant),
 }
 
-/// One unit that is in use, to be returned by [`Books::give_back`].
+/// One unit that is in use, to be returned by [`BudgetLedger::give_back`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Use {
     budget: BudgetId,
@@ -99,7 +99,7 @@
     /// What it limits.
     pub kind: Kind,
     /// The total of the whole fleet by this planner's file, and the effective total.
-    pub whole: (u64, u64),
+    pub total: (u64, u64),
     /// Units that may be in use at this planner.
     pub usable: u64,
     /// Units in use at this planner.
@@ -111,7 +111,7 @@
 /// One budget and its uses at this planner.
 #[derive(Clone, Debug)]
 struct Account {
-    spec: Wanted,
+    spec: BudgetSpec,
     share: Share,
     /// Uses that have not ended: the latest end of each, and its number.
     uses: BTreeSet<(Micros, u64)>,
@@ -165,7 +165,7 @@
 
 /// A planner's part in its fleet and in all budgets.
 #[derive(Clone, Debug)]
-pub struct Books {
+pub struct BudgetLedger {
     fleet: Fleet,
     accounts: BTreeMap<BudgetId, Account>,
     started: Micros,
@@ -173,11 +173,11 @@
     lines: Vec<String>,
 }
 
-impl Books {
+impl BudgetLedger {
     /// The part of an incarnation that starts at `now`.
-    pub fn new(plan: &Plan, life: Life, now: Micros) -> Books {
+    pub fn new(plan: &Plan, life: Incarnation, now: Micros) -> BudgetLedger {
         let fleet = Fleet::new(plan.place, life, plan.voters.clone(), plan.terms, now);
-        Books { fleet, accounts: BTreeMap::new(), started: now, number: 0, lines: Vec::new() }
+        BudgetLedger { fleet, accounts: BTreeMap::new(), started: now, number: 0, lines: Vec::new() }
     }
 
     /// The slots held and the planners heard.
@@ -187,13 +187,13 @@
 
     /// Sets the budgets of a new operators' file. Budgets that it drops are kept until all their loans have
     /// expired.
-    pub fn set(&mut self, now: Micros, specs: impl IntoIterator<Item = Wanted>) {
-        let mut all: BTreeMap<BudgetId, Wanted> =
+    pub fn set(&mut self, now: Micros, specs: impl IntoIterator<Item = BudgetSpec>) {
+        let mut all: BTreeMap<BudgetId, BudgetSpec> =
             specs.into_iter().map(|w| (w.kind.id(&w.place), w)).collect();
         for (id, account) in &mut self.accounts {
             match all.remove(id) {
                 Some(spec) => {
-                    account.share.set_total(spec.whole, spec.hold);
+                    account.share.set_total(spec.total, spec.hold);
                     (account.spec, account.removed_at, account.mismatch_logged) = (spec, None, false);
                 }
                 None => _ = account.removed_at.get_or_insert(now),
@@ -203,8 +203,8 @@
         for (id, spec) in all {
             let floor = if spec.kind == Kind::RetryFloor { 1000 } else { fleet.floor_permille() };
             let mut share =
-                Share::new(fleet.place(), fleet.life(), (spec.whole, id), (terms, floor), self.started);
-            share.set_total(spec.whole, spec.hold);
+                Share::new(fleet.place(), fleet.life(), (spec.total, id), (terms, floor), self.started);
+            share.set_total(spec.total, spec.hold);
             // An initial guess, where the operators' file sets no hold time.
             let mean_use_us = if spec.hold > 0 { spec.hold as f64 } else { terms.lease as f64 / 4.0 };
             let account = Account {
@@ -235,7 +235,7 @@
         let hold = account.share.hold(now);
         // Long enough for any clock, so that a rate is kept in true time, too.
         let lasting = if hold > 0 { self.fleet.terms().lender_span(hold) } else { lasting };
-        let leases = self.fleet.ground();
+        let leases = self.fleet.slot_leases();
         if !account.share.admits(leases, now, lasting) {
             account.refused += 1;
             let usable = account.share.usable(leases, now).max(1);
@@ -279,26 +279,26 @@
         if now < self.started + self.fleet.terms().lender_span(account.spec.hold) {
             return 0;
         }
-        floor(base(account.share.whole(now), members, me, id), 1000)
+        floor(base(account.share.total(now), members, me, id), 1000)
     }
 
     /// Processes a message and appends the answers to `out`.
     pub fn hear(
         &mut self,
         now: Micros,
-        (from, life): (Member, Life),
-        word: Word,
-        out: &mut Vec<(Member, Word)>,
+        (from, life): (Member, Incarnation),
+        word: PeerMessage,
+        out: &mut Vec<(Member, PeerMessage)>,
     ) {
         self.fleet.record_heard(now, from, life);
         match word {
-            Word::Claim(claim) => {
+            PeerMessage::Claim(claim) => {
                 out.extend(
-                    self.fleet.on_claim(now, (from, life), claim).map(|vote| (from, Word::Vote(vote))),
+                    self.fleet.on_claim(now, (from, life), claim).map(|vote| (from, PeerMessage::Vote(vote))),
                 );
             }
-            Word::Vote(vote) => out.extend(claim_messages(self.fleet.on_vote(now, from, vote))),
-            Word::Ask(id, ask) => {
+            PeerMessage::Vote(vote) => out.extend(claim_messages(self.fleet.on_vote(now, from, vote))),
+            PeerMessage::Ask(id, ask) => {
                 let leaving = self.fleet.is_leaving();
                 let Some(account) = self.accounts.get_mut(&id) else { return };
                 // A planner that leaves, or whose file dropped the budget, grants no new loans.
@@ -307,11 +307,11 @@
                 }
                 account.remove_expired(now);
                 account.update_share();
-                let leases = self.fleet.ground();
+                let leases = self.fleet.slot_leases();
                 let grant = account.share.on_ask(leases, now, from, ask);
-                out.extend(grant.map(|grant| (from, Word::Grant(id, grant))));
+                out.extend(grant.map(|grant| (from, PeerMessage::Grant(id, grant))));
             }
-            Word::Grant(id, grant) => {
+            PeerMessage::Grant(id, grant) => {
                 if let Some(account) = self.accounts.get_mut(&id) {
                     account.share.on_grant(now, from, grant);
                 }
@@ -320,7 +320,7 @@
     }
 
     /// Does what is due; to be called about every [`Terms::ask_every`].
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<(Member, Word)>) {
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<(Member, PeerMessage)>) {
         let claims = self.fleet.tick(now);
         out.extend(claim_messages(claims));
         let terms = self.fleet.terms();
@@ -335,23 +335,24 @@
                 account.estimated_demand = 0.0;
             }
             account.update_share();
-            let whole = account.share.whole(now);
-            if whole < account.spec.whole && !account.mismatch_logged {
+            let total = account.share.total(now);
+            if total < account.spec.total && !account.mismatch_logged {
                 account.mismatch_logged = true;
-                let (place, kind, own) = (&account.spec.place, account.spec.kind.word(), account.spec.whole);
+                let (place, kind, own) =
+                    (&account.spec.place, account.spec.kind.setting_name(), account.spec.total);
                 self.lines.push(format!(
-                    "budget {place}.{kind}: another planner's operators file sets {whole}, \
+                    "budget {place}.{kind}: another planner's operators file sets {total}, \
                      this planner's sets {own}; the lower value applies"
                 ));
             }
             if account.spec.kind != Kind::RetryFloor {
-                let leases = self.fleet.ground();
+                let leases = self.fleet.slot_leases();
                 let asks = account.share.tick(leases, now);
-                out.extend(asks.into_iter().map(|(to, ask)| (to, Word::Ask(id, ask))));
+                out.extend(asks.into_iter().map(|(to, ask)| (to, PeerMessage::Ask(id, ask))));
             }
         }
         for slot in self.fleet.slots_to_give_back() {
-            let leases = self.fleet.ground();
+            let leases = self.fleet.slot_leases();
             if self.accounts.values().all(|account| account.share.can_spare(leases, now, slot)) {
                 let claims = self.fleet.give_back(now, slot);
                 out.extend(claim_messages(claims));
@@ -376,7 +377,7 @@
         if account.spec.kind == Kind::RetryFloor {
             return self.floor(now, id);
         }
-        let leases = self.fleet.ground();
+        let leases = self.fleet.slot_leases();
         account.share.usable(leases, now)
     }
 
@@ -385,7 +386,7 @@
         let state = |(&id, account): (&BudgetId, &Account)| State {
             place: account.spec.place.clone(),
             kind: account.spec.kind,
-            whole: (account.spec.whole, account.share.whole(now)),
+            total: (account.spec.total, account.share.total(now)),
             usable: self.usable(now, id),
             used: account.uses.iter().filter(|(end, _)| *end > now).count() as u64,
             demand: account.estimated_demand.ceil() as u64,
@@ -394,6 +395,6 @@
     }
 }
 
-fn claim_messages(claims: Vec<(Member, Claim)>) -> impl Iterator<Item = (Member, Word)> {
-    claims.into_iter().map(|(to, claim)| (to, Word::Claim(claim)))
+fn claim_messages(claims: Vec<(Member, Claim)>) -> impl Iterator<Item = (Member, PeerMessage)> {
+    claims.into_iter().map(|(to, claim)| (to, PeerMessage::Claim(claim)))
 }
--- a/src/decide/budgets/mod.rs
+++ b/src/decide/budgets/mod.rs
@@ -33,7 +33,7 @@
 mod ledger;
 mod share;
 
-pub use ledger::{Books, BudgetId, Kind, Plan, State, Use, Wanted, Word};
+pub use ledger::{BudgetId, BudgetLedger, BudgetSpec, Kind, PeerMessage, Plan, State, Use};
 pub use share::{base, floor, Ask, Grant, Share};
 
 #[cfg(test)]
--- a/src/decide/budgets/model.rs
+++ b/src/decide/budgets/model.rs
@@ -4,7 +4,7 @@
 
 use super::share::{Ask, Borrowed, Grant, Share};
 use super::*;
-use crate::decide::fleet::{Life, Member, Micros, SlotLeases, Terms};
+use crate::decide::fleet::{Incarnation, Member, Micros, SlotLeases, Terms};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -27,7 +27,7 @@
     now: u64,
     shares: Vec<Share>,
     slot_leases: Vec<SlotLeases>,
-    lives: Vec<Life>,
+    lives: Vec<Incarnation>,
     /// Messages in transit; a delivered one may be delivered again.
     net: BTreeSet<(Member, Member, Message)>,
     crashes: u8,
@@ -77,14 +77,14 @@
 
 struct World {
     members: Member,
-    whole: u64,
+    total: u64,
     crashes: u8,
     demand_changes: u8,
 }
 
 impl World {
-    fn share(&self, me: Member, life: Life, now: Micros) -> Share {
-        Share::new((me, self.members), life, (self.whole, 0), (TERMS, 1000), now)
+    fn share(&self, me: Member, life: Incarnation, now: Micros) -> Share {
+        Share::new((me, self.members), life, (self.total, 0), (TERMS, 1000), now)
     }
 }
 
@@ -186,11 +186,11 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no more than the whole", |world: &World, state: &State| {
-                state.sum() <= world.whole
+                state.sum() <= world.total
             }),
             Property::sometimes("a planner has more than its base", |world: &World, state: &State| {
                 let first = &state.shares[0];
-                first.usable(&state.slot_leases[0], state.clock(0)) > base(world.whole, world.members, 0, 0)
+                first.usable(&state.slot_leases[0], state.clock(0)) > base(world.total, world.members, 0, 0)
             }),
             Property::sometimes("a loan lapses", |_, state: &State| {
                 let lapsed = |b: &Borrowed| b.loan.expiry() > 0 && b.loan.units_at(state.clock(0)) == 0;
@@ -209,10 +209,10 @@
 
 #[test]
 fn three_planners_never_exceed_the_whole() {
-    check(World { members: 3, whole: 4, crashes: 1, demand_changes: 0 }, 11, 50_000);
+    check(World { members: 3, total: 4, crashes: 1, demand_changes: 0 }, 11, 50_000);
 }
 
 #[test]
 fn two_planners_never_exceed_the_whole_in_long_runs() {
-    check(World { members: 2, whole: 2, crashes: 1, demand_changes: 2 }, 11, 50_000);
+    check(World { members: 2, total: 2, crashes: 1, demand_changes: 2 }, 11, 50_000);
 }
--- a/src/decide/budgets/share.rs
+++ b/src/decide/budgets/share.rs
@@ -1,7 +1,7 @@
 //! One planner's share of one budget: the units it may use now, those it lends and those it borrows. The
 //! invariants are listed in the documentation of the module [`crate::decide::budgets`].
 
-use crate::decide::fleet::{Life, Member, Micros, SlotLeases, Terms};
+use crate::decide::fleet::{Incarnation, Member, Micros, SlotLeases, Terms};
 use std::collections::BTreeMap;
 
 /// Divisor of the lease. A slot that expires within that fraction of a lease does not back new loans: they
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ask {
     /// The incarnation of the asker.
-    pub life: Life,
+    pub life: Incarnation,
     /// Sequence number of this incarnation's asks to that lender.
     pub number: u32,
     /// Units wanted, those already borrowed included.
@@ -27,7 +27,7 @@
     /// lower the loan to this at once.
     pub holds: u64,
     /// The budget's total as the asker knows it.
-    pub whole: u64,
+    pub total: u64,
     /// The asker's hold time in microseconds, where it is the same for all uses; otherwise 0.
     pub hold: Micros,
 }
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Grant {
     /// The incarnation of the asker.
-    pub life: Life,
+    pub life: Incarnation,
     /// The number of the ask that is answered.
     pub number: u32,
     /// Units on loan.
@@ -44,7 +44,7 @@
     /// Duration of the loan in microseconds.
     pub span: Micros,
     /// The budget's total as the lender knows it.
-    pub whole: u64,
+    pub total: u64,
     /// The lender's hold time in microseconds, where it is the same for all uses; otherwise 0.
     pub hold: Micros,
 }
@@ -108,11 +108,11 @@
 pub struct Share {
     me: Member,
     members: Member,
-    life: Life,
+    life: Incarnation,
     terms: Terms,
     floor_permille: u64,
     salt: u64,
-    whole: u64,
+    total: u64,
     hold: Micros,
     /// The lowest total that another planner reported.
     lowest_total: PeerFigure,
@@ -122,7 +122,7 @@
     used: u64,
     /// The latest end of any use in flight.
     used_until: Micros,
-    lent: BTreeMap<(Member, Life), Lent>,
+    lent: BTreeMap<(Member, Incarnation), Lent>,
     pub(super) borrowed: BTreeMap<Member, Borrowed>,
     /// Other planners that got less than they asked for, and when.
     underserved: BTreeMap<Member, Micros>,
@@ -137,10 +137,10 @@
 /// The base of a planner: its floor and the units tied to its slot. If the total does not divide evenly,
 /// `salt` decides which planners get one unit more, so that several budgets smaller than the fleet do not all
 /// go to the same planners.
-pub fn base(whole: u64, members: Member, me: Member, salt: u64) -> u64 {
+pub fn base(total: u64, members: Member, me: Member, salt: u64) -> u64 {
     let n = u64::from(members.max(1));
     let rank = (u64::from(me) + salt % n) % n;
-    whole / n + u64::from(rank < whole % n)
+    total / n + u64::from(rank < total % n)
 }
 
 /// The part of a base that a planner may use without the consent of other planners.
@@ -149,12 +149,12 @@
 }
 
 impl Share {
-    /// The share of planner `me` of `members`, in an incarnation started at `started`, of a budget of `whole`
+    /// The share of planner `me` of `members`, in an incarnation started at `started`, of a budget of `total`
     /// units.
     pub fn new(
         (me, members): (Member, Member),
-        life: Life,
-        (whole, salt): (u64, u64),
+        life: Incarnation,
+        (total, salt): (u64, u64),
         (terms, floor_permille): (Terms, u64),
         started: Micros,
     ) -> Share {
@@ -166,7 +166,7 @@
             terms,
             floor_permille,
             salt,
-            whole,
+            total,
             hold: 0,
             lowest_total: None,
             longest_hold: None,
@@ -188,9 +188,9 @@
     }
 
     /// The effective total: the lower of its own and those that other planners reported within two leases.
-    pub fn whole(&self, now: Micros) -> u64 {
+    pub fn total(&self, now: Micros) -> u64 {
         Share::recent(self.lowest_total, now, &self.terms)
-            .map_or(self.whole, |lowest_total| self.whole.min(lowest_total))
+            .map_or(self.total, |lowest_total| self.total.min(lowest_total))
     }
 
     /// The effective hold time in microseconds: the longer of its own and those that other planners reported
@@ -202,8 +202,8 @@
 
     /// Sets total and hold time from a new operators' file. A lower total applies to the base at once;
     /// outstanding loans run to their end.
-    pub fn set_total(&mut self, whole: u64, hold: Micros) {
-        (self.whole, self.hold) = (whole, hold);
+    pub fn set_total(&mut self, total: u64, hold: Micros) {
+        (self.total, self.hold) = (total, hold);
     }
 
     /// Sets the units that this planner could use, the units in use, and the latest end of these uses.
@@ -213,7 +213,7 @@
 
     /// A planner's floor, and the units of its base tied to its slot.
     fn floor_and_slot_units(&self, now: Micros, of: Member) -> (u64, u64) {
-        let base = base(self.whole(now), self.members, of, self.salt);
+        let base = base(self.total(now), self.members, of, self.salt);
         let floor = floor(base, self.floor_permille);
         (floor, base - floor)
     }
@@ -280,9 +280,9 @@
         self.lent_out(now) + self.used.saturating_sub(borrowed) <= self.floor_and_slots(&others, now, last)
     }
 
-    fn note_peer_figures(&mut self, now: Micros, whole: u64, hold: Micros) {
-        if whole < self.whole && whole <= self.whole(now) {
-            self.lowest_total = Some((whole, now));
+    fn note_peer_figures(&mut self, now: Micros, total: u64, hold: Micros) {
+        if total < self.total && total <= self.total(now) {
+            self.lowest_total = Some((total, now));
         }
         if hold > self.hold && hold >= self.hold(now) {
             self.longest_hold = Some((hold, now));
@@ -294,15 +294,15 @@
         if from == self.me || from >= self.members {
             return None;
         }
-        self.note_peer_figures(now, ask.whole, ask.hold);
+        self.note_peer_figures(now, ask.total, ask.hold);
         let (units, span) = self.lend(leases, now, from, ask)?;
         let (life, number) = (ask.life, ask.number);
-        Some(Grant { life, number, units, span, whole: self.whole(now), hold: self.hold(now) })
+        Some(Grant { life, number, units, span, total: self.total(now), hold: self.hold(now) })
     }
 
     /// Processes a grant.
     pub fn on_grant(&mut self, now: Micros, from: Member, grant: Grant) {
-        self.note_peer_figures(now, grant.whole, grant.hold);
+        self.note_peer_figures(now, grant.total, grant.hold);
         let Some(borrowed) = self.borrowed.get_mut(&from) else { return };
         if grant.life == self.life && grant.number == borrowed.number {
             let Some(pending_since) = borrowed.pending_since.take() else { return };
@@ -384,7 +384,7 @@
         let mut asks = Vec::new();
         let (usable, wanted) = (self.usable(leases, now), self.demand.max(self.used));
         let mut surplus = usable.saturating_sub(wanted);
-        let (life, whole, hold) = (self.life, self.whole(now), self.hold(now));
+        let (life, total, hold) = (self.life, self.total(now), self.hold(now));
         let (terms, until) = (self.terms, self.used_until);
         // Units that last until the end of all uses in flight must still cover these uses after a loan is
         // reduced.
@@ -409,7 +409,7 @@
                 borrowed.number += 1;
                 borrowed.pending_since = Some(now);
                 let (number, wants, holds) = (borrowed.number, keeps, keeps);
-                asks.push((lender, Ask { life, number, wants, holds, whole, hold }));
+                asks.push((lender, Ask { life, number, wants, holds, total, hold }));
             }
         }
         if wanted > usable && now >= self.next_ask_at {
@@ -422,7 +422,7 @@
                 borrowed.number += 1;
                 borrowed.pending_since = Some(now);
                 let wants = holds + wanted - usable;
-                asks.push((lender, Ask { life, number: borrowed.number, wants, holds, whole, hold }));
+                asks.push((lender, Ask { life, number: borrowed.number, wants, holds, total, hold }));
             }
         }
         asks
--- a/src/decide/fleet/mod.rs
+++ b/src/decide/fleet/mod.rs
@@ -35,7 +35,7 @@
 /// A planner, by its index in the fleet's list. Its slot has the same number.
 pub type Member = u16;
 /// An incarnation of a planner: a random number drawn at each start.
-pub type Life = u64;
+pub type Incarnation = u64;
 
 /// The most planners that a fleet may have.
 pub const MOST_MEMBERS: usize = 1024;
@@ -111,7 +111,7 @@
     /// The slot.
     pub slot: Member,
     /// The incarnation that made the claim.
-    pub life: Life,
+    pub life: Incarnation,
     /// The number of the claim.
     pub number: u64,
     /// Whether the voter gave its vote, for one lease.
@@ -158,7 +158,7 @@
 pub struct Fleet {
     me: Member,
     members: Member,
-    life: Life,
+    life: Incarnation,
     terms: Terms,
     voters: Vec<Member>,
     voter: Option<Voter>,
@@ -167,9 +167,9 @@
     claim_count: u64,
     next_claim_at: Micros,
     leaving: bool,
-    ground: SlotLeases,
+    slot_leases: SlotLeases,
     /// Each other planner's incarnation, and when it was last heard.
-    heard: BTreeMap<Member, (Life, Micros)>,
+    heard: BTreeMap<Member, (Incarnation, Micros)>,
 }
 
 impl Fleet {
@@ -177,7 +177,7 @@
     /// is tied to slots.
     pub fn new(
         (me, members): (Member, Member),
-        life: Life,
+        life: Incarnation,
         voters: Vec<Member>,
         terms: Terms,
         now: Micros,
@@ -185,7 +185,7 @@
         debug_assert!(me < members && usize::from(members) <= MOST_MEMBERS);
         debug_assert!(voters.iter().all(|v| *v < members));
         let voter = voters.contains(&me).then(|| Voter::new(members, terms, now));
-        let ground = SlotLeases { grace_until: now + terms.lender_term(), slots: Vec::new() };
+        let slot_leases = SlotLeases { grace_until: now + terms.lender_term(), slots: Vec::new() };
         Fleet {
             me,
             members,
@@ -197,7 +197,7 @@
             claim_count: 0,
             next_claim_at: now,
             leaving: false,
-            ground,
+            slot_leases,
             heard: BTreeMap::new(),
         }
     }
@@ -208,7 +208,7 @@
     }
 
     /// This incarnation.
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> Incarnation {
         self.life
     }
 
@@ -227,8 +227,8 @@
     }
 
     /// The slots that this planner holds.
-    pub fn ground(&self) -> &SlotLeases {
-        &self.ground
+    pub fn slot_leases(&self) -> &SlotLeases {
+        &self.slot_leases
     }
 
     /// Whether this planner is about to stop.
@@ -242,7 +242,7 @@
     }
 
     /// Records that a message from a planner arrived.
-    pub fn record_heard(&mut self, now: Micros, from: Member, life: Life) {
+    pub fn record_heard(&mut self, now: Micros, from: Member, life: Incarnation) {
         if from < self.members && from != self.me {
             self.heard.insert(from, (life, now));
         }
@@ -251,7 +251,7 @@
     fn refresh_slots(&mut self) {
         let voters = self.voters.len();
         let slots = self.slot_claims.iter().map(|(&slot, slot_claim)| (slot, slot_claim.held_until(voters)));
-        self.ground.slots = slots.filter(|(_, until)| *until > 0).collect();
+        self.slot_leases.slots = slots.filter(|(_, until)| *until > 0).collect();
     }
 
     /// The planner is about to stop: it makes no more claims, and gives back the slots that it no longer
@@ -343,7 +343,7 @@
     }
 
     /// Processes a claim and returns the answer, if this planner votes.
-    pub fn on_claim(&mut self, now: Micros, from: (Member, Life), claim: Claim) -> Option<Vote> {
+    pub fn on_claim(&mut self, now: Micros, from: (Member, Incarnation), claim: Claim) -> Option<Vote> {
         if from.0 == self.me || from.0 >= self.members || claim.slot >= self.members {
             return None;
         }
--- a/src/decide/fleet/model.rs
+++ b/src/decide/fleet/model.rs
@@ -13,7 +13,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Claim(Life, super::Claim),
+    Claim(Incarnation, super::Claim),
     Vote(Vote),
 }
 
@@ -37,7 +37,7 @@
     /// The number of planners that hold a slot now.
     fn holders(&self, slot: Member) -> usize {
         let holds = |(of, p): (usize, &Fleet)| {
-            p.ground().slots.iter().any(|(held, until)| *held == slot && self.clock(of) < *until)
+            p.slot_leases().slots.iter().any(|(held, until)| *held == slot && self.clock(of) < *until)
         };
         self.planners.iter().enumerate().filter(|(of, p)| holds((*of, p))).count()
     }
@@ -91,7 +91,7 @@
 }
 
 impl World {
-    fn planner(&self, me: usize, life: Life, now: Micros) -> Fleet {
+    fn planner(&self, me: usize, life: Incarnation, now: Micros) -> Fleet {
         Fleet::new((me as Member, 3), life, self.voters.clone(), TERMS, now)
     }
 }
@@ -102,7 +102,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let began = 1_000 - TERMS.lender_term() - TERMS.lease;
-        let planners = (0..3).map(|me| self.planner(me, me as Life + 1, began)).collect();
+        let planners = (0..3).map(|me| self.planner(me, me as Incarnation + 1, began)).collect();
         let mut state = State { now: 0, planners, net: BTreeSet::new(), crashes: 0, give_backs: 0 };
         // The last claims of the initial holders are answered just before the start.
         for early in (1..=3).rev().map(|round| 8 * round) {
@@ -159,7 +159,7 @@
             }
             Step::GiveBack(of) => {
                 let clock = state.clock(of);
-                for (slot, _) in state.planners[of].ground().slots.clone() {
+                for (slot, _) in state.planners[of].slot_leases().slots.clone() {
                     let claims = state.planners[of].give_back(clock, slot);
                     state.send(of, claims);
                 }
@@ -176,7 +176,7 @@
                 (0..3).all(|slot| state.holders(slot) <= 1)
             }),
             Property::sometimes("another holds a planner's slot", |_, state: &State| {
-                let slots = |of: usize| &state.planners[of].ground().slots;
+                let slots = |of: usize| &state.planners[of].slot_leases().slots;
                 (0..3).any(|of| {
                     let clock = state.clock(of);
                     slots(of).iter().any(|(slot, until)| usize::from(*slot) != of && clock < *until)
@@ -247,7 +247,7 @@
     };
     let first = &world.init_states()[0];
     let slots: Vec<Member> =
-        first.planners[caretaker_index].ground().slots.iter().map(|(slot, _)| *slot).collect();
+        first.planners[caretaker_index].slot_leases().slots.iter().map(|(slot, _)| *slot).collect();
     assert!(slots.contains(&0), "the caretaker holds the slot at the start: {slots:?}");
     assert!(
         RATES[caretaker_index] < RATES[3 - caretaker_index],
--- a/src/decide/fleet/tests.rs
+++ b/src/decide/fleet/tests.rs
@@ -6,11 +6,16 @@
 const TERMS: Terms =
     Terms { lease: 2 * SECOND, rate_error_ppm: 10_000, ask_every: 50_000, floor_permille: 500 };
 
-fn fleet(me: Member, life: Life, now: Micros) -> Fleet {
+fn fleet(me: Member, life: Incarnation, now: Micros) -> Fleet {
     Fleet::new((me, 3), life, vec![0, 1, 2], TERMS, now)
 }
 
-fn votes(voter: &mut Fleet, now: Micros, from: (Member, Life), claims: &[(Member, Claim)]) -> Vec<Vote> {
+fn votes(
+    voter: &mut Fleet,
+    now: Micros,
+    from: (Member, Incarnation),
+    claims: &[(Member, Claim)],
+) -> Vec<Vote> {
     let me = voter.place().0;
     let to = claims.iter().filter(|(to, _)| *to == me);
     to.filter_map(|(_, claim)| voter.on_claim(now, from, *claim)).collect()
@@ -18,7 +23,7 @@
 
 /// Until when a planner holds slot 0. It may also be offered other slots that are free.
 fn held(fleet: &Fleet) -> Option<Micros> {
-    fleet.ground().slots.iter().find(|(slot, _)| *slot == 0).map(|(_, until)| *until)
+    fleet.slot_leases().slots.iter().find(|(slot, _)| *slot == 0).map(|(_, until)| *until)
 }
 
 /// If the network is partitioned and each side has some votes, a planner must not hold a slot with half of
--- a/src/decide/fleet/voter.rs
+++ b/src/decide/fleet/voter.rs
@@ -1,6 +1,6 @@
 //! A voter's records: the incarnation to which it gave its vote for each slot, and until when.
 
-use super::{stable_hash, Claim, Life, Member, Micros, Terms, Vote};
+use super::{stable_hash, Claim, Incarnation, Member, Micros, Terms, Vote};
 use std::collections::BTreeMap;
 
 /// Divisor of the lease. For that time after a slot expired, only its own planner may claim it, so that a
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GivenVote {
-    to: (Member, Life),
+    to: (Member, Incarnation),
     until: Micros,
     /// The number of the incarnation's last claim that was processed.
     number: u64,
@@ -44,7 +44,7 @@
     }
 
     /// Processes a claim and returns the answer, if any.
-    pub fn on_claim(&mut self, now: Micros, from: (Member, Life), claim: Claim) -> Option<Vote> {
+    pub fn on_claim(&mut self, now: Micros, from: (Member, Incarnation), claim: Claim) -> Option<Vote> {
         let Claim { slot, number, keep } = claim;
         let mut vote = Vote { slot, life: from.1, number, given: false, wanted: false, free: None };
         if now < self.grace_until {
--- a/src/decide/groups/fit.rs
+++ b/src/decide/groups/fit.rs
@@ -13,7 +13,7 @@
 
 /// Why a group does not fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Lacks {
+pub enum DoesNotFit {
     /// It would not fit even if all machines were empty: a retry cannot help.
     Ever,
     /// It requests a larger share of the machines' room than one group may.
@@ -63,27 +63,27 @@
 ///
 /// # Errors
 /// Why it does not fit.
-pub fn admit(needs: &[Need], spaces: &[Space], reserved: &[Need], share: f64) -> Result<(), Lacks> {
+pub fn admit(needs: &[Need], spaces: &[Space], reserved: &[Need], share: f64) -> Result<(), DoesNotFit> {
     let empty: Vec<Space> =
         spaces.iter().map(|s| Space { left: s.limit, offers: usize::MAX, ..*s }).collect();
     if !fits(needs, &empty, &[]) {
-        return Err(Lacks::Ever);
+        return Err(DoesNotFit::Ever);
     }
     let sum = |rooms: &mut dyn Iterator<Item = Room>| rooms.fold(Room::default(), |all, room| all + room);
     let (asked, whole) = (sum(&mut needs.iter().map(|n| n.room)), sum(&mut spaces.iter().map(|s| s.limit)));
     if asked.share_of(whole) > share {
-        return Err(Lacks::Share);
+        return Err(DoesNotFit::Share);
     }
     if fits(needs, spaces, reserved) {
         Ok(())
     } else {
-        Err(Lacks::Now)
+        Err(DoesNotFit::Now)
     }
 }
 
 /// Estimates the seconds until there may be room: the shortfall, divided by the rate at which ending tasks
 /// free room.
-pub fn away(needs: &[Need], spaces: &[Space], ends_per_s: f64, mean_room: Room) -> Seconds {
+pub fn retry_after(needs: &[Need], spaces: &[Space], ends_per_s: f64, mean_room: Room) -> Seconds {
     let sum = |rooms: &mut dyn Iterator<Item = Room>| rooms.fold(Room::default(), |all, room| all + room);
     let (asked, left) = (sum(&mut needs.iter().map(|n| n.room)), sum(&mut spaces.iter().map(|s| s.left)));
     let short = |asked: f64, left: f64, mean: f64| (asked - left).max(asked * 0.1) / mean.max(1e-6);
--- a/src/decide/groups/interface.rs
+++ b/src/decide/groups/interface.rs
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// There is room for the whole group now; it stays reserved for members that are not submitted yet.
-    LetIn,
+    Admitted,
     /// There is no room for the whole group.
     NoRoom {
         /// Seconds after which there may be.
--- a/src/decide/groups/mod.rs
+++ b/src/decide/groups/mod.rs
@@ -198,12 +198,12 @@
     pub fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         match (self.phase, event) {
             (Phase::Over, _) => return,
-            (Phase::Admitting, Event::LetIn) => self.start_try(now),
+            (Phase::Admitting, Event::Admitted) => self.start_try(now),
             (Phase::Admitting, Event::NoRoom { retry_in_s }) => {
                 self.retry_in_s = retry_in_s;
                 self.give_up(now, Why::NoRoom, actions);
             }
-            (_, Event::LetIn | Event::NoRoom { .. }) => {}
+            (_, Event::Admitted | Event::NoRoom { .. }) => {}
             (Phase::Admitting | Phase::Placing, Event::Cancel) => self.give_up(now, Why::Cancelled, actions),
             (Phase::Standing, Event::Cancel) => self.give_up(now, Why::Cancelled, actions),
             (Phase::Admitting | Phase::Placing, Event::Stop) => self.give_up(now, Why::Stopping, actions),
--- a/src/decide/groups/model.rs
+++ b/src/decide/groups/model.rs
@@ -129,7 +129,7 @@
         let mut clear = Vec::new();
         for action in actions {
             match action {
-                Action::Admit => self.handle(state, Event::LetIn),
+                Action::Admit => self.handle(state, Event::Admitted),
                 Action::Place(at) => {
                     let connection = &mut state.connections[at];
                     connection.down.push_back(Down::Offer);
--- a/src/decide/groups/tests.rs
+++ b/src/decide/groups/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the group's state machine, the fit and the learned start times at their edge cases.
 
-use super::fit::{admit, away, Lacks, Need};
+use super::fit::{admit, retry_after, DoesNotFit, Need};
 use super::starts::{Ends, Starts};
 use super::*;
 use crate::placer::{MachineId, Room, ServiceId, Space};
@@ -57,7 +57,7 @@
 #[test]
 fn slow_members_go_first() {
     let mut rig = Rig::new(policy(), &[0.1, 1.0, 0.4]);
-    assert_eq!(placed(&rig.handle(Event::LetIn)), [1]);
+    assert_eq!(placed(&rig.handle(Event::Admitted)), [1]);
     assert_eq!(placed(&rig.at(100.6)), [2]);
     assert_eq!(placed(&rig.at(100.9)), [0]);
     let last = [1, 2, 0].map(|at| rig.stands(at));
@@ -69,7 +69,7 @@
 #[test]
 fn the_last_refused_cuts_all_others() {
     let mut rig = Rig::new(Policy { tries: 1, ..policy() }, &[0.0; 32]);
-    assert_eq!(placed(&rig.handle(Event::LetIn)).len(), 32);
+    assert_eq!(placed(&rig.handle(Event::Admitted)).len(), 32);
     (0..31).for_each(|at| assert_eq!(answer(&rig.stands(at)), None));
     let actions = rig.handle(Event::Refused { member: 31, retry_in_s: 0.5 });
     assert_eq!(cut(&actions).len(), 32);
@@ -85,7 +85,7 @@
 #[test]
 fn a_partial_group_is_cut_in_time() {
     let mut rig = Rig::new(policy(), &[0.0, 0.0]);
-    rig.handle(Event::LetIn);
+    rig.handle(Event::Admitted);
     rig.stands(0);
     assert_eq!(cut(&rig.at(100.79)), Vec::<usize>::new());
     assert_eq!(cut(&rig.at(100.8)), [0, 1]);
@@ -97,7 +97,7 @@
 #[test]
 fn an_answer_does_not_wait_for_a_silent_machine() {
     let mut rig = Rig::new(policy(), &[0.0, 0.0]);
-    rig.handle(Event::LetIn);
+    rig.handle(Event::Admitted);
     rig.stands(0);
     rig.now = 100.1;
     rig.handle(Event::Failed { member: 1 });
@@ -112,7 +112,7 @@
 #[test]
 fn the_whole_is_tried_again_once_all_is_gone() {
     let mut rig = Rig::new(policy(), &[0.0, 0.0]);
-    rig.handle(Event::LetIn);
+    rig.handle(Event::Admitted);
     rig.stands(0);
     rig.handle(Event::Refused { member: 1, retry_in_s: 0.0 });
     rig.handle(Event::Clear { member: 1 });
@@ -121,7 +121,7 @@
     assert_eq!(rig.group.phase(), Phase::Admitting);
     assert_eq!(rig.at(100.05), []);
     assert!(rig.at(100.2).contains(&Action::Admit));
-    assert_eq!(placed(&rig.handle(Event::LetIn)), [0, 1]);
+    assert_eq!(placed(&rig.handle(Event::Admitted)), [0, 1]);
     rig.handle(Event::Refused { member: 0, retry_in_s: 0.0 });
     let last = [0, 1].map(|member| rig.handle(Event::Clear { member }));
     assert!(matches!(answer(&last[1]), Some(Answer::Refused { .. })), "two tries and no more");
@@ -131,7 +131,7 @@
 #[test]
 fn what_ran_to_its_end_is_no_refusal() {
     let mut rig = Rig::new(policy(), &[0.0, 0.0]);
-    rig.handle(Event::LetIn);
+    rig.handle(Event::Admitted);
     rig.stands(0);
     rig.handle(Event::Finished { member: 0 });
     rig.handle(Event::Refused { member: 1, retry_in_s: 0.0 });
@@ -145,7 +145,7 @@
 fn a_loss_is_kept_cut_or_replaced() {
     for on_loss in [OnLoss::Keep, OnLoss::Cut, OnLoss::Replace] {
         let mut rig = Rig::new(Policy { on_loss, ..policy() }, &[0.0, 0.0]);
-        rig.handle(Event::LetIn);
+        rig.handle(Event::Admitted);
         [0, 1].iter().for_each(|&at| drop(rig.stands(at)));
         let lost = rig.handle(Event::Lost { member: 0 });
         let cleared = rig.handle(Event::Clear { member: 0 });
@@ -168,11 +168,11 @@
 #[test]
 fn a_stop_gives_up_what_does_not_stand() {
     let mut rig = Rig::new(policy(), &[0.0, 0.0]);
-    rig.handle(Event::LetIn);
+    rig.handle(Event::Admitted);
     rig.stands(0);
     assert_eq!(cut(&rig.handle(Event::Stop)), [0, 1]);
     let mut rig = Rig::new(policy(), &[0.0]);
-    rig.handle(Event::LetIn);
+    rig.handle(Event::Admitted);
     rig.stands(0);
     assert_eq!(rig.handle(Event::Stop), []);
     assert_eq!(cut(&rig.handle(Event::Cancel)), [0]);
@@ -194,19 +194,19 @@
 fn a_group_fits_whole_or_is_rejected() {
     let spaces = [space(0, 4.0, 9), space(1, 4.0, 9)];
     assert_eq!(admit(&needs(4, 2.0), &spaces, &[], 1.0), Ok(()));
-    assert_eq!(admit(&needs(5, 2.0), &spaces, &[], 1.0), Err(Lacks::Now));
+    assert_eq!(admit(&needs(5, 2.0), &spaces, &[], 1.0), Err(DoesNotFit::Now));
     assert_eq!(
         admit(&needs(2, 3.0), &spaces, &needs(1, 3.0), 1.0),
-        Err(Lacks::Now),
+        Err(DoesNotFit::Now),
         "room for one is reserved"
     );
-    assert_eq!(admit(&needs(1, 11.0), &spaces, &[], 1.0), Err(Lacks::Ever));
-    assert_eq!(admit(&needs(21, 1.0), &spaces, &[], 1.0), Err(Lacks::Ever), "larger than all machines");
-    assert_eq!(admit(&needs(6, 1.0), &spaces, &[], 0.25), Err(Lacks::Share));
+    assert_eq!(admit(&needs(1, 11.0), &spaces, &[], 1.0), Err(DoesNotFit::Ever));
+    assert_eq!(admit(&needs(21, 1.0), &spaces, &[], 1.0), Err(DoesNotFit::Ever), "larger than all machines");
+    assert_eq!(admit(&needs(6, 1.0), &spaces, &[], 0.25), Err(DoesNotFit::Share));
     let cold = [space(0, 9.0, 1), space(1, 9.0, 2)];
     assert_eq!(
         admit(&needs(4, 1.0), &cold, &[], 1.0),
-        Err(Lacks::Now),
+        Err(DoesNotFit::Now),
         "a cold machine takes a limited number of offers"
     );
     assert_eq!(admit(&needs(3, 1.0), &cold, &[], 1.0), Ok(()));
@@ -219,9 +219,10 @@
     (0..100).for_each(|n| ends.count(100.0 + f64::from(n) / 10.0, Room { cores: 1.0, memory: 1.0 }));
     let (rate, mean) = (ends.rate(110.0), ends.mean());
     let spaces = [space(0, 4.0, 9)];
-    let (near, far) = (away(&needs(5, 1.0), &spaces, rate, mean), away(&needs(40, 1.0), &spaces, rate, mean));
+    let (near, far) =
+        (retry_after(&needs(5, 1.0), &spaces, rate, mean), retry_after(&needs(40, 1.0), &spaces, rate, mean));
     assert!(near < far && far < 30.0, "{near} {far}");
-    assert_eq!(away(&needs(5, 1.0), &spaces, 0.0, mean), 30.0, "nothing ends");
+    assert_eq!(retry_after(&needs(5, 1.0), &spaces, 0.0, mean), 30.0, "nothing ends");
 }
 
 /// Guards the planner's memory against an unbounded number of services, and keeps the samples of frequent
--- a/src/decide/limits/explain.rs
+++ b/src/decide/limits/explain.rs
@@ -3,7 +3,7 @@
 use super::gauges::{Budget, Rate};
 use super::model::{Figures, Model, Route};
 use super::table::{Chain, Subject, Table};
-use crate::placer::{Effect, Seconds, Settings};
+use crate::placer::{Idempotency, Seconds, Settings};
 use std::collections::BTreeMap;
 
 /// One figure of a job's limits.
@@ -23,7 +23,7 @@
 }
 
 /// The figures of one entry as written in the file, by name.
-pub fn words(figures: &Figures) -> BTreeMap<&'static str, String> {
+pub fn figures_by_name(figures: &Figures) -> BTreeMap<&'static str, String> {
     let mut all = BTreeMap::new();
     let mut add = |name: &'static str, value: Option<String>| {
         if let Some(value) = value {
@@ -79,17 +79,17 @@
         // not inherited.
         let scoped = SCOPED_FIGURES.contains(&name);
         let found = chain.find(|figures| {
-            let spelling = words(figures).remove(name)?;
+            let spelling = figures_by_name(figures).remove(name)?;
             Some(if scoped && figures.is_shared() { format!("{spelling} of the fleet") } else { spelling })
         });
         let (value, from) = match found {
             Some((origin, value)) => (value, origin.name(model, classes)),
             None => {
-                let value = match (name, class.effect) {
+                let value = match (name, class.idempotency) {
                     ("attempts", _) => settings.max_attempts.to_string(),
                     ("totalMs", _) => "the owner's deadline".into(),
-                    ("repeatWindowMs", Effect::Keyed { window_s, .. }) => ms(window_s),
-                    ("secondCopy", Effect::Once) => "\"never\"".into(),
+                    ("repeatWindowMs", Idempotency::Keyed { window_s, .. }) => ms(window_s),
+                    ("secondCopy", Idempotency::Once) => "\"never\"".into(),
                     ("secondCopy", _) => "\"after-give-up\"".into(),
                     ("attemptMs" | "pauseMs", _) => "learned by the placer".into(),
                     _ => return None,
@@ -98,8 +98,8 @@
             }
         };
         // A repeat window that a class without keys inherits has no effect and is not shown.
-        let unused = name == "repeatWindowMs" && !matches!(class.effect, Effect::Keyed { .. });
-        let forbidden = name == "secondCopy" && class.effect == Effect::Once;
+        let unused = name == "repeatWindowMs" && !matches!(class.idempotency, Idempotency::Keyed { .. });
+        let forbidden = name == "secondCopy" && class.idempotency == Idempotency::Once;
         let value = if forbidden { "\"never\"".into() } else { value };
         (!unused).then_some(Line { name, value, from })
     };
@@ -129,10 +129,15 @@
 pub fn diff(old: &Model, new: &Model, classes: &[String]) -> Vec<String> {
     let entries = |model: &Model| {
         let mut all: Vec<(String, BTreeMap<&'static str, String>)> =
-            vec![("default".into(), words(&model.default))];
-        all.extend(classes.iter().zip(&model.classes).map(|(name, f)| (format!("classes.{name}"), words(f))));
+            vec![("default".into(), figures_by_name(&model.default))];
+        all.extend(
+            classes
+                .iter()
+                .zip(&model.classes)
+                .map(|(name, f)| (format!("classes.{name}"), figures_by_name(f))),
+        );
         all.extend(model.routes.iter().map(|route| {
-            let mut own = words(&route.figures);
+            let mut own = figures_by_name(&route.figures);
             own.extend(matching(route, classes));
             (format!("routes.{}", route.name), own)
         }));
--- a/src/decide/limits/file.rs
+++ b/src/decide/limits/file.rs
@@ -10,7 +10,7 @@
 use super::shared_rate;
 use super::table::Origin;
 use crate::document::{Fault, Item, Section};
-use crate::placer::{Effect, Seconds, Settings};
+use crate::placer::{Idempotency, Seconds, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::sync::Arc;
@@ -231,8 +231,8 @@
 
     fn keyed_windows(&self) -> impl Iterator<Item = (usize, Seconds)> + 'a {
         let classes = self.context.settings.classes.iter().enumerate();
-        classes.filter_map(|(at, class)| match class.effect {
-            Effect::Keyed { window_s, .. } => Some((at, window_s)),
+        classes.filter_map(|(at, class)| match class.idempotency {
+            Idempotency::Keyed { window_s, .. } => Some((at, window_s)),
             _ => None,
         })
     }
@@ -256,10 +256,10 @@
 
     /// Checks figures that apply to the given classes against what the effects of these classes allow.
     fn check_class_effects(&self, section: &Section<'_>, figures: &Figures, classes: &[usize]) {
-        let all = |is: fn(&Effect) -> bool| {
-            !classes.is_empty() && classes.iter().all(|&c| is(&self.context.settings.classes[c].effect))
+        let all = |is: fn(&Idempotency) -> bool| {
+            !classes.is_empty() && classes.iter().all(|&c| is(&self.context.settings.classes[c].idempotency))
         };
-        if figures.second_copy == Some(SecondCopy::AfterGiveUp) && all(|e| *e == Effect::Once) {
+        if figures.second_copy == Some(SecondCopy::AfterGiveUp) && all(|e| *e == Idempotency::Once) {
             if let Some(item) = section.get("secondCopy") {
                 item.breaks(
                     "asks for a second copy",
@@ -268,7 +268,7 @@
             }
         }
         let (Some(own), Some(item)) = (figures.window_s, section.get("repeatWindowMs")) else { return };
-        if all(|e| !matches!(e, Effect::Keyed { .. })) {
+        if all(|e| !matches!(e, Idempotency::Keyed { .. })) {
             item.fault("has no effect for a class without keys");
         }
         let shortest = self.keyed_windows().filter(|(at, _)| classes.contains(at));
--- a/src/decide/limits/file/chains.rs
+++ b/src/decide/limits/file/chains.rs
@@ -5,7 +5,7 @@
 use crate::decide::limits::model::{Model, SecondCopy};
 use crate::decide::limits::table::{Chain, Origin};
 use crate::document::Fault;
-use crate::placer::{Effect, Seconds};
+use crate::placer::{Idempotency, Seconds};
 use std::collections::BTreeMap;
 
 /// Seconds. The placer's longest pause after a refusal; applies where the file sets none.
@@ -60,7 +60,7 @@
         if let Some((i, ())) = chain.find(|f| f.in_flight.filter(|_| f.is_shared()).map(|_| ())) {
             self.check_ends_in_time(positions, i, total, name);
         }
-        let Effect::Keyed { window_s, .. } = settings.classes[class].effect else { return };
+        let Idempotency::Keyed { window_s, .. } = settings.classes[class].idempotency else { return };
         let copies = chain.get(|f| f.second_copy) != Some(SecondCopy::Never);
         let own = chain.get(|f| f.window_s).unwrap_or(window_s);
         let Some((a, attempt_s)) = attempt.filter(|_| copies && own <= window_s) else { return };
--- a/src/decide/limits/mod.rs
+++ b/src/decide/limits/mod.rs
@@ -32,7 +32,7 @@
 pub use model::{Figures, Front, Matching, Model, Pattern, Route, Scope, SecondCopy};
 pub use table::{resolve_chain, Chain, Origin, Resolved, Subject, Table};
 
-use crate::decide::budgets::{Books, BudgetId, Kind, Use, Wanted};
+use crate::decide::budgets::{BudgetId, BudgetLedger, BudgetSpec, Kind, Use};
 use crate::decide::fleet::Micros;
 use crate::placer::{Seconds, Settings};
 use gauges::{FlightGauge, RateGauge, RetryGauge, BUDGET_SPAN_S};
@@ -52,14 +52,14 @@
 
 /// The rejection of a job by a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turned {
+pub struct Rejection {
     /// The limit that rejected it.
     pub why: Why,
     /// Seconds after which the client should try again.
     pub retry_in_s: Seconds,
 }
 
-/// The counters that an admitted job holds; returned with [`Limits::over`].
+/// The counters that an admitted job holds; returned with [`Limits::return_ticket`].
 #[derive(Debug)]
 pub struct Ticket {
     since: Seconds,
@@ -115,9 +115,9 @@
     /// Jobs in flight.
     pub in_flight: u32,
     /// First attempts in the last ten seconds.
-    pub first_tries: u32,
+    pub first_attempts: u32,
     /// Retries in the last ten seconds.
-    pub further_tries: u32,
+    pub retries: u32,
 }
 
 /// The limits in force and the counts against them.
@@ -131,7 +131,7 @@
     /// routes.
     gauge_indices: Vec<Option<usize>>,
     classes: Arc<[String]>,
-    books: Option<Books>,
+    books: Option<BudgetLedger>,
 }
 
 impl Limits {
@@ -149,17 +149,17 @@
     }
 
     /// The number of gauges, including those of removed entries that jobs still hold.
-    pub fn kept(&self) -> usize {
+    pub fn gauge_count(&self) -> usize {
         self.gauges.len() - self.free.len()
     }
 
     /// Joins a fleet; call this before the first [`Limits::swap`].
-    pub fn join(&mut self, books: Books) {
+    pub fn join(&mut self, books: BudgetLedger) {
         self.books = Some(books);
     }
 
     /// The planner's books of the fleet's budgets, if it is part of a fleet.
-    pub fn books(&mut self) -> Option<&mut Books> {
+    pub fn books(&mut self) -> Option<&mut BudgetLedger> {
         self.books.as_mut()
     }
 
@@ -207,13 +207,18 @@
     }
 
     /// The budgets of an entry that are divided among the planners; adds each to `wanted`.
-    fn fleet_budgets(&self, place: &Arc<str>, figures: &Figures, wanted: &mut Vec<Wanted>) -> FleetBudgets {
+    fn fleet_budgets(
+        &self,
+        place: &Arc<str>,
+        figures: &Figures,
+        wanted: &mut Vec<BudgetSpec>,
+    ) -> FleetBudgets {
         let Some(books) = self.books.as_ref().filter(|_| figures.is_shared()) else {
             return FleetBudgets::default();
         };
         let lease_s = books.fleet().terms().lease as f64 / 1e6;
-        let mut want = |kind: Kind, whole: u64, hold: Micros| {
-            wanted.push(Wanted { place: place.clone(), kind, whole, hold });
+        let mut want = |kind: Kind, total: u64, hold: Micros| {
+            wanted.push(BudgetSpec { place: place.clone(), kind, total, hold });
             kind.id(place)
         };
         // A rate too low for the lease in force admits no job; reading the file reports this as a fault.
@@ -271,7 +276,12 @@
     ///
     /// # Errors
     /// The limit that rejects the job.
-    pub fn admit(&mut self, now: Seconds, of: &Resolved, until: Seconds) -> Result<Option<Ticket>, Turned> {
+    pub fn admit(
+        &mut self,
+        now: Seconds,
+        of: &Resolved,
+        until: Seconds,
+    ) -> Result<Option<Ticket>, Rejection> {
         if of.is_uncounted() {
             return Ok(None);
         }
@@ -290,7 +300,7 @@
                 if let (Some(books), Some(fleet_use)) = (self.books.as_mut(), fleet_use) {
                     books.put_back(fleet_use);
                 }
-                return Err(Turned { why: Why::Rate, retry_in_s });
+                return Err(Rejection { why: Why::Rate, retry_in_s });
             }
         }
         let budget = of.budget.and_then(|(origin, budget)| Some((self.gauge_index(origin)?, budget)));
@@ -318,8 +328,8 @@
         gauge_index: usize,
         most: u32,
         until: Seconds,
-    ) -> Result<Option<Use>, Turned> {
-        let rejection = |retry_in_s| Turned { why: Why::InFlight, retry_in_s };
+    ) -> Result<Option<Use>, Rejection> {
+        let rejection = |retry_in_s| Rejection { why: Why::InFlight, retry_in_s };
         let fleet_budget = self.gauge(gauge_index).and_then(|g| g.fleet_budgets.flight);
         let taken = fleet_budget.map(|id| self.take(now, id, until + ANSWER_MARGIN_S - now));
         let Some(gauge) = self.gauge(gauge_index) else { return Ok(None) };
@@ -343,19 +353,19 @@
     }
 
     /// Counts a job's first attempt.
-    pub fn first_try(&mut self, now: Seconds, ticket: &Ticket) {
+    pub fn count_first_attempt(&mut self, now: Seconds, ticket: &Ticket) {
         if let Some(gauge) = ticket.budget.and_then(|(gauge_index, _)| self.gauge(gauge_index)) {
             gauge.tries.count_first(now);
         }
     }
 
     /// Checks whether a retry would be within the budget now, without counting it.
-    pub fn affords(&mut self, now: Seconds, ticket: &Ticket) -> Result<(), Turned> {
+    pub fn can_retry(&mut self, now: Seconds, ticket: &Ticket) -> Result<(), Rejection> {
         self.check_budget(now, ticket, RetryGauge::can_retry)
     }
 
     /// Counts a retry that is about to be sent, or rejects it if the budget is used up.
-    pub fn further_try(&mut self, now: Seconds, ticket: &Ticket) -> Result<(), Turned> {
+    pub fn take_retry(&mut self, now: Seconds, ticket: &Ticket) -> Result<(), Rejection> {
         self.check_budget(now, ticket, RetryGauge::take_retry)
     }
 
@@ -364,7 +374,7 @@
         now: Seconds,
         ticket: &Ticket,
         check: fn(&mut RetryGauge, Seconds, Budget) -> bool,
-    ) -> Result<(), Turned> {
+    ) -> Result<(), Rejection> {
         let Some((gauge_index, mut budget)) = ticket.budget else { return Ok(()) };
         let fleet_budget = self.gauge(gauge_index).and_then(|g| g.fleet_budgets.floor);
         if let (Some(id), Some(books)) = (fleet_budget, &self.books) {
@@ -376,11 +386,11 @@
         if check(&mut gauge.tries, now, budget) {
             return Ok(());
         }
-        Err(Turned { why: Why::RetryBudget, retry_in_s: gauge.tries.retry_after(now, budget) })
+        Err(Rejection { why: Why::RetryBudget, retry_in_s: gauge.tries.retry_after(now, budget) })
     }
 
     /// Returns a job's ticket once the job has its final answer.
-    pub fn over(&mut self, now: Seconds, ticket: Ticket) {
+    pub fn return_ticket(&mut self, now: Seconds, ticket: Ticket) {
         if let (Some(books), Some(fleet_use)) = (self.books.as_mut(), ticket.fleet_use) {
             books.give_back(micros(now), fleet_use);
         }
@@ -400,9 +410,9 @@
     /// The current counts of all entries of the file in force.
     pub fn readings(&mut self, now: Seconds) -> Vec<Reading> {
         let reading = |gauge: &mut Gauge| {
-            let (first_tries, further_tries) = gauge.tries.counts(now);
+            let (first_attempts, retries) = gauge.tries.counts(now);
             let (name, in_flight) = (gauge.name.clone()?, gauge.flight.count());
-            Some(Reading { name, in_flight, first_tries, further_tries })
+            Some(Reading { name, in_flight, first_attempts, retries })
         };
         self.gauges.iter_mut().flatten().filter_map(reading).collect()
     }
--- a/src/decide/limits/table.rs
+++ b/src/decide/limits/table.rs
@@ -8,7 +8,7 @@
 
 use super::gauges::{Budget, Rate};
 use super::model::{Figures, Front, Matching, Model, Pattern, SecondCopy};
-use crate::placer::{Effect, Room, Seconds, Settings, TaskLimits};
+use crate::placer::{Idempotency, Room, Seconds, Settings, TaskLimits};
 use foldhash::fast::RandomState;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -105,10 +105,12 @@
 
 /// Computes the limits of a class from the entries of a chain, within the bounds of the settings.
 pub fn resolve_chain(chain: &Chain, class: usize, route: Option<usize>, settings: &Settings) -> Resolved {
-    let effect = settings.classes[class].effect;
+    let idempotency = settings.classes[class].idempotency;
     let copies = chain.get(|f| f.second_copy).is_none_or(|copy| copy == SecondCopy::AfterGiveUp);
-    let window_s = match effect {
-        Effect::Keyed { window_s, .. } => chain.get(|f| f.window_s).map_or(window_s, |own| own.min(window_s)),
+    let window_s = match idempotency {
+        Idempotency::Keyed { window_s, .. } => {
+            chain.get(|f| f.window_s).map_or(window_s, |own| own.min(window_s))
+        }
         _ => f64::INFINITY,
     };
     let attempts = chain.get(|f| f.attempts).map_or(usize::MAX, |n| n as usize);
@@ -120,7 +122,7 @@
             let mean = (least + most) / 2.0;
             (mean, if mean > 0.0 { (most - mean) / mean } else { 0.0 })
         }),
-        copies: copies && effect != Effect::Once,
+        copies: copies && idempotency != Idempotency::Once,
     };
     Resolved {
         task,
--- a/src/decide/limits/tests.rs
+++ b/src/decide/limits/tests.rs
@@ -3,14 +3,14 @@
 
 use super::*;
 use crate::document::{self, Faults, Item, Sink, Text};
-use crate::placer::{Class, Effect, Kind, Place, ReportSource, Room};
+use crate::placer::{Class, Idempotency, Kind, Place, ReportSource, Room};
 use proptest::prelude::*;
 
 const KEYED: usize = 1;
 
 fn settings() -> Settings {
-    let class = |effect| Class {
-        effect,
+    let class = |idempotency| Class {
+        idempotency,
         deadline_s: 8.0,
         on_time_s: 1.0,
         late_share: 0.1,
@@ -19,9 +19,9 @@
         spread: None,
         kind: None,
     };
-    let keyed = Effect::Keyed { group: Place::All, window_s: 6.0 };
+    let keyed = Idempotency::Keyed { group: Place::All, window_s: 6.0 };
     Settings {
-        classes: vec![class(Effect::Repeatable), class(keyed), class(Effect::Once)],
+        classes: vec![class(Idempotency::Repeatable), class(keyed), class(Idempotency::Once)],
         kinds: vec![Kind { size: Room { cores: 10.0, memory: 20.0 } }],
         tenants: vec![],
         zone: None,
@@ -36,8 +36,8 @@
         reports_used: false,
         probes: true,
         max_attempts: 4,
-        cold_bears: 10.0,
-        fall_s: 3.0,
+        cold_offer_limit: 10.0,
+        cold_window_s: 3.0,
         warm_within_s: 18.0,
         tick_s: 0.002,
         over_share_worth: 0.1,
@@ -153,7 +153,8 @@
 fn rejected_clients_get_different_retry_times() {
     let mut limits = limits("{default: {ratePerS: 10, burst: 1}}");
     let of = limits.resolve(&subject(0, "s")).expect("limits");
-    let wait = |result: Result<Option<Ticket>, Turned>| result.map(|_| ()).expect_err("rejected").retry_in_s;
+    let wait =
+        |result: Result<Option<Ticket>, Rejection>| result.map(|_| ()).expect_err("rejected").retry_in_s;
     limits.admit(100.0, &of, f64::INFINITY).expect("admitted");
     let retry_times: Vec<f64> = (0..400).map(|_| wait(limits.admit(100.0, &of, f64::INFINITY))).collect();
     assert!(
@@ -174,7 +175,7 @@
         (0..2).filter_map(|_| limits.admit(100.0, &of, f64::INFINITY).expect("a slot")).collect();
     let rejection = limits.admit(100.0, &of, f64::INFINITY).expect_err("no slot");
     assert_eq!((rejection.why, rejection.retry_in_s), (Why::InFlight, 0.25));
-    tickets.into_iter().for_each(|ticket| limits.over(110.0, ticket));
+    tickets.into_iter().for_each(|ticket| limits.return_ticket(110.0, ticket));
     assert_eq!(limits.readings(110.0)[0].in_flight, 0);
     let slow: Vec<_> = (0..2).map(|_| limits.admit(110.0, &of, f64::INFINITY).expect("a slot")).collect();
     let rejection = limits.admit(110.0, &of, f64::INFINITY).expect_err("no slot");
@@ -202,11 +203,11 @@
     let mut limits = limits("{default: {retryBudget: 0.2, retryFloor: 1}}");
     let of = limits.resolve(&subject(0, "s")).expect("limits");
     let ticket = limits.admit(100.0, &of, f64::INFINITY).expect("admitted").expect("something is counted");
-    (0..50).for_each(|n| limits.first_try(100.0 + f64::from(n) / 10.0, &ticket));
+    (0..50).for_each(|n| limits.count_first_attempt(100.0 + f64::from(n) / 10.0, &ticket));
     let storm =
-        |limits: &mut Limits, now| (0..99).filter(|_| limits.further_try(now, &ticket).is_ok()).count();
+        |limits: &mut Limits, now| (0..99).filter(|_| limits.take_retry(now, &ticket).is_ok()).count();
     assert_eq!(storm(&mut limits, 105.0), 11);
-    let rejection = limits.further_try(105.0, &ticket).expect_err("used up");
+    let rejection = limits.take_retry(105.0, &ticket).expect_err("used up");
     assert_eq!((rejection.why, rejection.retry_in_s > 9.0), (Why::RetryBudget, true), "{rejection:?}");
     // The earlier first attempts are more than ten seconds old and no longer count; the retries still do.
     assert_eq!(storm(&mut limits, 113.0), 0);
@@ -225,12 +226,12 @@
     assert!(limits.admit(100.0, &again, f64::INFINITY).is_err(), "the slot is still in use");
     for n in 0..1000 {
         limits.swap(0.0, table(&format!("{{routes: [{{name: 'r{n}', match: {{}}, inFlight: 9}}]}}")));
-        assert_eq!(limits.kept(), 2, "the gauge of the file's route and the one that a job holds");
+        assert_eq!(limits.gauge_count(), 2, "the gauge of the file's route and the one that a job holds");
     }
-    limits.over(200.0, ticket);
-    assert_eq!(limits.kept(), 1);
+    limits.return_ticket(200.0, ticket);
+    assert_eq!(limits.gauge_count(), 1);
     limits.swap(0.0, table("{}"));
-    assert_eq!(limits.kept(), 0);
+    assert_eq!(limits.gauge_count(), 0);
 }
 
 fn pattern() -> impl Strategy<Value = String> {
@@ -321,10 +322,10 @@
         let table = Table::new(model, &settings, Some("hall-a"));
         let of = table.resolve(&subject(class, &service)).expect("limits");
         prop_assert!(of.task.attempts <= settings.max_attempts && of.task.attempts > 0);
-        match settings.classes[class].effect {
-            Effect::Keyed { window_s, .. } => prop_assert!(of.task.window_s <= window_s),
-            Effect::Once => prop_assert!(!of.task.copies),
-            Effect::Repeatable => {}
+        match settings.classes[class].idempotency {
+            Idempotency::Keyed { window_s, .. } => prop_assert!(of.task.window_s <= window_s),
+            Idempotency::Once => prop_assert!(!of.task.copies),
+            Idempotency::Repeatable => {}
         }
     }
 
@@ -379,11 +380,11 @@
 /// affected.
 #[test]
 fn a_shared_entry_admits_what_its_share_allows() {
-    use crate::decide::budgets::{Books, Plan};
+    use crate::decide::budgets::{BudgetLedger, Plan};
     use crate::decide::fleet::Terms;
     let terms = Terms { lease: 4_000_000, rate_error_ppm: 0, ask_every: 50_000, floor_permille: 500 };
     let mut limits = Limits::new(&settings(), classes());
-    limits.join(Books::new(&Plan { place: (0, 2), voters: vec![], terms }, 1, 0));
+    limits.join(BudgetLedger::new(&Plan { place: (0, 2), voters: vec![], terms }, 1, 0));
     let text = "{default: {totalMs: 1000, inFlight: 4, scope: 'fleet', retryBudget: 0, retryFloor: 2}, \
                 classes: {keyed: {ratePerS: 4, burst: 4, scope: 'fleet'}}, \
                 routes: [{name: 'own', match: {service: 'x'}, inFlight: 3}]}";
@@ -398,9 +399,9 @@
     let rejection = limits.admit(20.0, &plain, 20.9).expect_err("half of four is two");
     assert!(rejection.why == Why::InFlight && (0.01..=30.0).contains(&rejection.retry_in_s), "{rejection:?}");
     let [first, second] = <[Ticket; 2]>::try_from(two).expect("two");
-    assert!(limits.further_try(20.1, &first).is_ok(), "half of the floor of two is one");
-    assert!(limits.further_try(20.1, &second).is_err());
-    limits.over(20.2, first);
+    assert!(limits.take_retry(20.1, &first).is_ok(), "half of the floor of two is one");
+    assert!(limits.take_retry(20.1, &second).is_err());
+    limits.return_ticket(20.2, first);
     limits.admit(20.2, &plain, 21.0).expect("a slot came free");
     assert!(limits.admit(20.2, &plain, 21.0).is_err());
     let own = resolved(&limits, 0, "x");
--- a/src/decide/links/mod.rs
+++ b/src/decide/links/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds after its connection was reclaimed at which a machine that holds tasks is visited.
-pub const VISIT_S: Seconds = 3.0;
+pub const VISIT_AFTER_S: Seconds = 3.0;
 /// The least duration of a visit, in seconds; the machine sends the answers that it owes at once.
 pub const MIN_VISIT_S: Seconds = 0.2;
 
@@ -36,7 +36,7 @@
 
 /// The connection slots.
 #[derive(Debug)]
-pub struct Places {
+pub struct ConnectionSlots {
     capacity: usize,
     held: BTreeMap<MachineId, Held>,
     waiting: BTreeMap<MachineId, (Need, u64)>,
@@ -45,15 +45,15 @@
     requests: u64,
 }
 
-impl Places {
+impl ConnectionSlots {
     /// Creates `capacity` slots, at least one.
-    pub fn new(capacity: usize) -> Places {
+    pub fn new(capacity: usize) -> ConnectionSlots {
         let (held, waiting, queue) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
-        Places { capacity: capacity.max(1), held, waiting, queue, requests: 0 }
+        ConnectionSlots { capacity: capacity.max(1), held, waiting, queue, requests: 0 }
     }
 
     /// Sets the number of slots. Those in excess are given back as other machines request one.
-    pub fn set_most(&mut self, capacity: usize) {
+    pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity.max(1);
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Whether a machine's connection is to be given back.
-    pub fn is_asked(&self, machine: MachineId) -> bool {
+    pub fn is_reclaimed(&self, machine: MachineId) -> bool {
         self.held.get(&machine).is_some_and(|h| h.reclaimed)
     }
 
--- a/src/decide/links/tests.rs
+++ b/src/decide/links/tests.rs
@@ -9,7 +9,7 @@
 /// machines without need.
 #[test]
 fn set_ups_go_before_visits_and_the_least_used_gives_way() {
-    let mut places = Places::new(2);
+    let mut places = ConnectionSlots::new(2);
     assert!(places.want(0.0, id(1), Need::Spare) && places.want(0.1, id(2), Need::Spare));
     assert!(
         !places.want(0.2, id(3), Need::Spare) && !places.is_short(),
@@ -34,7 +34,7 @@
     for seed in 0..6 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
         let (machines, capacity) = (700, 140);
-        let mut places = Places::new(capacity);
+        let mut places = ConnectionSlots::new(capacity);
         // When each machine was last connected, and when it last lost its connection.
         let mut seen = vec![0.0; machines];
         let mut left = vec![0.0; machines];
@@ -46,7 +46,7 @@
                 let held = places.held.contains_key(&id(n as u32));
                 if held {
                     seen[n] = now;
-                } else if now >= left[n] + VISIT_S || rng.gen_bool(0.0005) {
+                } else if now >= left[n] + VISIT_AFTER_S || rng.gen_bool(0.0005) {
                     places.want(now, id(n as u32), if rng.gen_bool(0.1) { Need::Now } else { Need::Visit });
                 }
                 worst = worst.max(now - seen[n]);
--- a/src/decide/silence/looks.rs
+++ b/src/decide/silence/checks.rs
@@ -1,7 +1,7 @@
 //! Schedules the periodic checks of a connection to a machine. Pure: times and the state of the connection
 //! come in.
 //!
-//! Each connection has a grid of check times of its own: they are [`LOOK_EVERY_S`] apart, and the first one
+//! Each connection has a grid of check times of its own: they are [`CHECK_INTERVAL_S`] apart, and the first one
 //! is random. Checks at which nothing could be due are skipped.
 //!
 //! - A check that finds something runs at the same time as if none were skipped: nothing that is due is found
@@ -18,7 +18,7 @@
 use crate::placer::Seconds;
 
 /// Seconds between two checks.
-pub const LOOK_EVERY_S: Seconds = 0.25;
+pub const CHECK_INTERVAL_S: Seconds = 0.25;
 /// Seconds after which an unanswered probe has failed.
 pub const PROBE_TIMEOUT_S: Seconds = 1.0;
 /// Seconds after its last byte at which a partial line is considered truncated for good.
@@ -30,9 +30,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Open {
     /// When the open probe was sent, if there is one.
-    pub test_since: Option<Seconds>,
+    pub probe_since: Option<Seconds>,
     /// When the last byte of a partial line arrived, if there is one.
-    pub half_line_since: Option<Seconds>,
+    pub partial_line_since: Option<Seconds>,
     /// The machine holds tasks.
     pub holds_tasks: bool,
     /// Another machine waits for a connection slot, and a check may free one.
@@ -41,19 +41,19 @@
 
 impl Open {
     /// Whether the open probe has timed out.
-    pub fn is_test_late(&self, now: Seconds) -> bool {
-        self.test_since.is_some_and(|since| now - since > PROBE_TIMEOUT_S)
+    pub fn is_probe_late(&self, now: Seconds) -> bool {
+        self.probe_since.is_some_and(|since| now - since > PROBE_TIMEOUT_S)
     }
 
     /// Whether a partial line has timed out.
     pub fn is_line_lost(&self, now: Seconds) -> bool {
-        self.half_line_since.is_some_and(|since| now - since > PARTIAL_LINE_TIMEOUT_S)
+        self.partial_line_since.is_some_and(|since| now - since > PARTIAL_LINE_TIMEOUT_S)
     }
 
     /// The time from which a check may find something; `None` if no check can.
     pub fn due(&self, watch: &Watch) -> Option<Seconds> {
-        let probe_due = self.test_since.map(|since| since + PROBE_TIMEOUT_S);
-        let line_due = self.half_line_since.map(|since| since + PARTIAL_LINE_TIMEOUT_S);
+        let probe_due = self.probe_since.map(|since| since + PROBE_TIMEOUT_S);
+        let line_due = self.partial_line_since.map(|since| since + PARTIAL_LINE_TIMEOUT_S);
         let tasks_due = self.holds_tasks.then(|| watch.due());
         let slots_due = self.is_short.then_some(f64::NEG_INFINITY);
         [probe_due, line_due, tasks_due, slots_due].into_iter().flatten().min_by(f64::total_cmp)
@@ -62,16 +62,16 @@
 
 /// The schedule of the checks of one connection.
 #[derive(Clone, Debug)]
-pub struct Looks {
+pub struct CheckSchedule {
     /// A point of the grid: the time of the next check, unless that is skipped.
     next: Seconds,
     planned: Option<Seconds>,
 }
 
-impl Looks {
+impl CheckSchedule {
     /// A schedule whose first check may run at `first`.
-    pub fn new(first: Seconds) -> Looks {
-        Looks { next: first, planned: None }
+    pub fn new(first: Seconds) -> CheckSchedule {
+        CheckSchedule { next: first, planned: None }
     }
 
     /// Plans the next check, given the time from which something may be due, and returns when it runs; `None`
@@ -87,18 +87,18 @@
     }
 
     /// Records that the planned check runs now.
-    pub fn looked(&mut self, now: Seconds) {
+    pub fn record_check(&mut self, now: Seconds) {
         let planned = self.planned.unwrap_or(now);
         let at = if now - planned > LATE_CHECK_S { now } else { planned };
-        self.next = at + LOOK_EVERY_S;
+        self.next = at + CHECK_INTERVAL_S;
         // If the work that follows a check takes longer than the interval, the next check is due at once.
         self.planned = Some(self.next);
     }
 
     /// The first point of the grid at or after a time.
     fn grid_point_from(&self, time: Seconds) -> Seconds {
-        let skipped = ((time - self.next) / LOOK_EVERY_S).ceil().max(0.0);
-        self.next + skipped * LOOK_EVERY_S
+        let skipped = ((time - self.next) / CHECK_INTERVAL_S).ceil().max(0.0);
+        self.next + skipped * CHECK_INTERVAL_S
     }
 }
 
--- a/src/decide/silence/looks/tests.rs
+++ b/src/decide/silence/checks/tests.rs
@@ -1,7 +1,7 @@
 //! Compares the schedule that skips checks with one that checks at every point of the grid, on a simulated
 //! clock.
 
-use super::super::{Dial, Step, Watch, DIAL_AFTER_S, LOST_S};
+use super::super::{Dial, Step, Watch, DIAL_AFTER_S, LOST_AFTER_S};
 use super::*;
 use proptest::prelude::*;
 
@@ -19,13 +19,13 @@
         // State of the connection, monitor, time from which a check may find something.
         (nothing, &fresh, None),
         (nothing, &refused, None),
-        (Open { test_since: Some(now), ..nothing }, &fresh, Some(now + PROBE_TIMEOUT_S)),
-        (Open { half_line_since: Some(now), ..nothing }, &fresh, Some(now + PARTIAL_LINE_TIMEOUT_S)),
+        (Open { probe_since: Some(now), ..nothing }, &fresh, Some(now + PROBE_TIMEOUT_S)),
+        (Open { partial_line_since: Some(now), ..nothing }, &fresh, Some(now + PARTIAL_LINE_TIMEOUT_S)),
         (Open { holds_tasks: true, ..nothing }, &fresh, Some(now + DIAL_AFTER_S)),
         (Open { holds_tasks: true, ..nothing }, &refused, Some(now + DIAL_AFTER_S)),
         (Open { is_short: true, ..nothing }, &fresh, Some(f64::NEG_INFINITY)),
         (
-            Open { test_since: Some(now), half_line_since: Some(now + 0.75), ..nothing },
+            Open { probe_since: Some(now), partial_line_since: Some(now + 0.75), ..nothing },
             &fresh,
             Some(now + PROBE_TIMEOUT_S),
         ),
@@ -37,7 +37,7 @@
 
 #[test]
 fn the_grid_stands_while_looks_are_left_out() {
-    let mut looks = Looks::new(0.125);
+    let mut checks = CheckSchedule::new(0.125);
     let table = [
         // Now, time from which something may be due, planned time.
         (0.0, None, None),
@@ -52,18 +52,18 @@
         (3.25, Some(3.0), Some(3.375)),
     ];
     for (now, due, planned) in table {
-        assert_eq!(looks.plan(now, due), planned, "at {now}, due from {due:?}");
+        assert_eq!(checks.plan(now, due), planned, "at {now}, due from {due:?}");
     }
 }
 
 #[test]
 fn a_late_look_moves_the_grid() {
     let at = |late: Seconds| {
-        let mut looks = Looks::new(1.0);
-        assert_eq!(looks.plan(0.0, Some(0.0)), Some(1.0));
-        assert_eq!(looks.plan(1.0 + late, Some(0.0)), Some(1.0), "the planned check has merely not run yet");
-        looks.looked(1.0 + late);
-        looks.plan(1.0 + late, Some(0.0))
+        let mut checks = CheckSchedule::new(1.0);
+        assert_eq!(checks.plan(0.0, Some(0.0)), Some(1.0));
+        assert_eq!(checks.plan(1.0 + late, Some(0.0)), Some(1.0), "the planned check has merely not run yet");
+        checks.record_check(1.0 + late);
+        checks.plan(1.0 + late, Some(0.0))
     };
     assert_eq!((at(0.0), at(0.004), at(0.5)), (Some(1.25), Some(1.25), Some(1.75)));
 }
@@ -72,11 +72,11 @@
 #[test]
 fn an_idle_connection_is_not_looked_at() {
     let looks_in = |open: Open| {
-        let (mut looks, watch, mut count) = (Looks::new(0.125), Watch::new(0.0), 0);
+        let (mut checks, watch, mut count) = (CheckSchedule::new(0.125), Watch::new(0.0), 0);
         for tick in 0..64 * 60 {
             let now = f64::from(tick) * TICK_S;
-            if looks.plan(now, open.due(&watch)).is_some_and(|at| at <= now) {
-                looks.looked(now);
+            if checks.plan(now, open.due(&watch)).is_some_and(|at| at <= now) {
+                checks.record_check(now);
                 count += 1;
             }
         }
@@ -113,26 +113,26 @@
         match event {
             Event::Heard { of_task, half_line } => {
                 self.watch.heard(now, of_task);
-                self.open.half_line_since = half_line.then_some(now);
+                self.open.partial_line_since = half_line.then_some(now);
             }
-            Event::Probe(out) => self.open.test_since = out.then_some(now),
+            Event::Probe(out) => self.open.probe_since = out.then_some(now),
             Event::HoldsTasks(holds) => self.open.holds_tasks = holds,
             Event::IsShort(is_short) => self.open.is_short = is_short,
         }
     }
 
     /// Runs a check; returns how long the dial that it asks for takes.
-    fn look(&mut self, now: Seconds, dials: &[Dial]) -> Seconds {
-        let (late, lost) = (self.open.is_test_late(now), self.open.is_line_lost(now));
+    fn check(&mut self, now: Seconds, dials: &[Dial]) -> Seconds {
+        let (late, lost) = (self.open.is_probe_late(now), self.open.is_line_lost(now));
         let mut took_s = 0.0;
         if late {
-            self.open.test_since = None;
+            self.open.probe_since = None;
         }
-        let mut step = self.watch.look(now, self.open.holds_tasks, 0.5);
+        let mut step = self.watch.check(now, self.open.holds_tasks, 0.5);
         if step == Step::Dial {
             let dial = dials[self.dials % dials.len()];
             self.dials += 1;
-            took_s = if dial == Dial::Silent { LOOK_EVERY_S } else { 0.0 };
+            took_s = if dial == Dial::Silent { CHECK_INTERVAL_S } else { 0.0 };
             step = self.watch.dialled(now + took_s, dial, true);
             self.found.push((now, Step::Dial, false, false));
         }
@@ -145,7 +145,7 @@
 
 /// Simulates a minute, with a check at each point of the grid, or without those at which nothing can be due.
 fn simulate(events: &[(u32, Event)], dials: &[Dial], skips_checks: bool) -> (Simulation, usize) {
-    let (mut simulation, mut looks, mut count) = (Simulation::new(), Looks::new(0.125), 0);
+    let (mut simulation, mut checks, mut count) = (Simulation::new(), CheckSchedule::new(0.125), 0);
     let (mut busy_until, mut waiting) = (0.0, events.iter().peekable());
     for tick in 0..64 * 60 {
         let now = f64::from(tick) * TICK_S;
@@ -157,10 +157,10 @@
             simulation.event(now, *event);
         }
         let due = if skips_checks { simulation.open.due(&simulation.watch) } else { Some(f64::NEG_INFINITY) };
-        if looks.plan(now, due).is_some_and(|at| at <= now) {
-            looks.looked(now);
+        if checks.plan(now, due).is_some_and(|at| at <= now) {
+            checks.record_check(now);
             count += 1;
-            busy_until = now + simulation.look(now, dials);
+            busy_until = now + simulation.check(now, dials);
         }
     }
     (simulation, count)
@@ -206,7 +206,7 @@
     assert_eq!(
         times(Step::Lost).next(),
         Some(6.625),
-        "the first check {LOST_S} s after it last reported on a task"
+        "the first check {LOST_AFTER_S} s after it last reported on a task"
     );
     assert!(count < 240, "{count} checks");
 }
--- a/src/decide/silence/mod.rs
+++ b/src/decide/silence/mod.rs
@@ -2,7 +2,7 @@
 //! connection, when to close a connection, and when to report the held tasks as lost. Pure: times and counts
 //! come in.
 //!
-//! - Held tasks are reported lost within [`LOST_S`] of the machine's last message, so that their owners have
+//! - Held tasks are reported lost within [`LOST_AFTER_S`] of the machine's last message, so that their owners have
 //!   the answer within the protocol's 8 s, even if every dial since then ran into its time-out
 //!   (`a_lost_task_is_told_in_time`).
 //! - A single machine that falls silent is soon assumed to have failed. Many that are silent at once are
@@ -14,16 +14,16 @@
 //!   refused, a message that costs nothing is written to the old connection: the host of a process that has
 //!   exited answers it with a reset.
 //! - A machine that drains and takes no new connections may no longer report the ends of tasks, even if its
-//!   old connection is up and it answers each probe there. Its tasks are reported lost [`LOST_S`] after it
+//!   old connection is up and it answers each probe there. Its tasks are reported lost [`LOST_AFTER_S`] after it
 //!   last accepted a connection or reported on a task (`a_drain_that_tells_of_no_end_is_not_waited_for`).
 
-pub mod looks;
+pub mod checks;
 
 use crate::placer::Seconds;
 
 /// Seconds without a message from the machine after which its tasks are reported lost. The answer must reach
 /// the owner within 8 s, and the last dial and one more check still follow this time.
-pub const LOST_S: Seconds = 6.5;
+pub const LOST_AFTER_S: Seconds = 6.5;
 /// Seconds of silence after which a machine that holds tasks is dialled; the base interval of further
 /// dials.
 pub const DIAL_AFTER_S: Seconds = 1.0;
@@ -39,8 +39,8 @@
 /// Whether the tasks at a machine are to be reported lost, given the number of consecutive failed dials, the
 /// time since anything arrived from the machine, and the number of machines, this one included, that no dial
 /// reaches now.
-pub fn is_lost(silent_dials: u32, quiet_s: Seconds, silent_now: usize) -> bool {
-    silent_dials >= MIN_FAILED_DIALS && (silent_now < MANY_SILENT || quiet_s >= LOST_S)
+pub fn is_lost(failed_dials: u32, quiet_s: Seconds, silent_now: usize) -> bool {
+    failed_dials >= MIN_FAILED_DIALS && (silent_now < MANY_SILENT || quiet_s >= LOST_AFTER_S)
 }
 
 /// The result of a dial beside an open connection.
@@ -68,10 +68,10 @@
     Swap,
     /// Read the connection that just came up to its end: a machine sends the answers that it owes on the next
     /// connection.
-    HearOut,
+    ReadNewToEnd,
     /// Write a message that costs nothing: if the machine's process has exited, the host answers with a
     /// reset.
-    Nudge,
+    ProvokeReset,
     /// Close the connection: it delivers nothing any more.
     Close,
     /// Report the tasks at the machine as lost; the connection stays open.
@@ -80,20 +80,20 @@
 
 /// The last signs of activity of a machine, over all its connections.
 #[derive(Clone, Copy, Debug)]
-pub struct Signs {
+pub struct MachineActivity {
     /// When the machine last showed any sign of activity, answered dials included.
-    pub sign: Seconds,
+    pub last_sign: Seconds,
     /// When it last reported on a task or accepted a connection; the ends of its tasks were reported until
     /// then.
-    pub told: Seconds,
+    pub last_task_report: Seconds,
     /// Consecutive failed dials since the last sign of activity.
-    pub silent_dials: u32,
+    pub failed_dials: u32,
 }
 
-impl Signs {
+impl MachineActivity {
     /// The state of a machine of which nothing is known yet.
-    pub fn new(now: Seconds) -> Signs {
-        Signs { sign: now, told: now, silent_dials: 0 }
+    pub fn new(now: Seconds) -> MachineActivity {
+        MachineActivity { last_sign: now, last_task_report: now, failed_dials: 0 }
     }
 }
 
@@ -102,7 +102,7 @@
 pub struct Watch {
     /// When something last arrived on the connection.
     last_received: Seconds,
-    signs: Signs,
+    signs: MachineActivity,
     dial_at: Seconds,
     refused: bool,
 }
@@ -110,30 +110,36 @@
 impl Watch {
     /// The monitor of a connection that just came up.
     pub fn new(now: Seconds) -> Watch {
-        Watch { last_received: now, signs: Signs::new(now), dial_at: now + DIAL_AFTER_S, refused: false }
+        Watch {
+            last_received: now,
+            signs: MachineActivity::new(now),
+            dial_at: now + DIAL_AFTER_S,
+            refused: false,
+        }
     }
 
     /// Records that something arrived on the connection; `of_task` if it reports on a task, and does not
     /// merely answer a probe.
     pub fn heard(&mut self, now: Seconds, of_task: bool) {
-        let told = if of_task { now } else { self.signs.told };
-        (self.last_received, self.signs) = (now, Signs { told, ..Signs::new(now) });
+        let last_task_report = if of_task { now } else { self.signs.last_task_report };
+        (self.last_received, self.signs) =
+            (now, MachineActivity { last_task_report, ..MachineActivity::new(now) });
         self.dial_at = self.dial_at.max(now + DIAL_AFTER_S);
         self.refused &= !of_task;
     }
 
     /// The signs of activity of the connection's machine.
-    pub fn signs(&self) -> Signs {
+    pub fn signs(&self) -> MachineActivity {
         self.signs
     }
 
     /// Returns what is due; `held` if the machine holds tasks. `draw`, from 0 to 1, is this planner's own
     /// random number: without it, all planners connected to a machine would dial it in step after a fault.
-    pub fn look(&mut self, now: Seconds, held: bool, draw: f64) -> Step {
+    pub fn check(&mut self, now: Seconds, held: bool, draw: f64) -> Step {
         if !held {
             return Step::Wait;
         }
-        if self.refused && now - self.signs.told >= LOST_S {
+        if self.refused && now - self.signs.last_task_report >= LOST_AFTER_S {
             return Step::Lost;
         }
         let quiet = now - self.last_received;
@@ -151,7 +157,11 @@
     /// until then.
     pub fn due(&self) -> Seconds {
         let dial = self.dial_at.max(self.last_received + DIAL_AFTER_S);
-        let end = if self.refused { self.signs.told + LOST_S } else { self.last_received + CLOSE_AFTER_S };
+        let end = if self.refused {
+            self.signs.last_task_report + LOST_AFTER_S
+        } else {
+            self.last_received + CLOSE_AFTER_S
+        };
         dial.min(end)
     }
 
@@ -161,19 +171,24 @@
         match dial {
             Dial::Short => return Step::Wait,
             Dial::Silent => {
-                self.signs.silent_dials += 1;
+                self.signs.failed_dials += 1;
                 // The next check dials again.
                 self.dial_at = now;
-                return if self.signs.silent_dials >= MIN_FAILED_DIALS { Step::Close } else { Step::Wait };
+                return if self.signs.failed_dials >= MIN_FAILED_DIALS { Step::Close } else { Step::Wait };
+            }
+            Dial::Refused => {
+                self.signs = MachineActivity {
+                    last_task_report: self.signs.last_task_report,
+                    ..MachineActivity::new(now)
+                }
             }
-            Dial::Refused => self.signs = Signs { told: self.signs.told, ..Signs::new(now) },
-            Dial::Up => self.signs = Signs::new(now),
+            Dial::Up => self.signs = MachineActivity::new(now),
         }
         self.refused = dial == Dial::Refused;
         if self.refused {
-            Step::Nudge
+            Step::ProvokeReset
         } else if out {
-            Step::HearOut
+            Step::ReadNewToEnd
         } else {
             Step::Swap
         }
--- a/src/decide/silence/tests.rs
+++ b/src/decide/silence/tests.rs
@@ -27,7 +27,7 @@
         if answers_probes && now % 2.0 == 0.0 {
             watch.heard(now, false);
         }
-        let mut step = watch.look(now, true, 1.0);
+        let mut step = watch.check(now, true, 1.0);
         if step == Step::Dial {
             now += if dial == Dial::Silent { dial_s } else { 0.0 };
             step = watch.dialled(now, dial, out);
@@ -51,7 +51,7 @@
     for out in [false, true] {
         for kind in [Dial::Up, Dial::Refused, Dial::Silent, Dial::Short] {
             let (mut at, steps) = simulate(kind, out, dial, false);
-            assert!(at <= LOST_S + 2.0 * look, "{kind:?}: {at}");
+            assert!(at <= LOST_AFTER_S + 2.0 * look, "{kind:?}: {at}");
             if steps.ends_with(&[Step::Swap]) || steps.ends_with(&[Step::Lost]) {
                 continue; // Another connection is up, or the loss is reported.
             }
@@ -66,8 +66,8 @@
         }
     }
     assert!(
-        !is_lost(MIN_FAILED_DIALS, LOST_S - 0.01, MANY_SILENT)
-            && is_lost(MIN_FAILED_DIALS, LOST_S, MANY_SILENT)
+        !is_lost(MIN_FAILED_DIALS, LOST_AFTER_S - 0.01, MANY_SILENT)
+            && is_lost(MIN_FAILED_DIALS, LOST_AFTER_S, MANY_SILENT)
     );
 }
 
@@ -78,16 +78,19 @@
 fn a_drain_that_tells_of_no_end_is_not_waited_for() {
     for answers_probes in [false, true] {
         let (at, steps) = simulate(Dial::Refused, false, 0.25, answers_probes);
-        assert!(steps.ends_with(&[Step::Lost]) && (LOST_S..=LOST_S + 0.25).contains(&at), "{at}: {steps:?}");
-        assert!(steps.iter().filter(|s| **s == Step::Nudge).count() >= 2);
+        assert!(
+            steps.ends_with(&[Step::Lost]) && (LOST_AFTER_S..=LOST_AFTER_S + 0.25).contains(&at),
+            "{at}: {steps:?}"
+        );
+        assert!(steps.iter().filter(|s| **s == Step::ProvokeReset).count() >= 2);
     }
     let mut watch = Watch::new(0.0);
-    assert_eq!(watch.dialled(29.0, Dial::Up, true), Step::HearOut);
-    assert_eq!(watch.dialled(30.0, Dial::Refused, true), Step::Nudge);
-    assert_eq!(watch.look(35.0, true, 0.0), Step::Dial);
-    assert_eq!(watch.look(35.5, true, 0.0), Step::Lost);
+    assert_eq!(watch.dialled(29.0, Dial::Up, true), Step::ReadNewToEnd);
+    assert_eq!(watch.dialled(30.0, Dial::Refused, true), Step::ProvokeReset);
+    assert_eq!(watch.check(35.0, true, 0.0), Step::Dial);
+    assert_eq!(watch.check(35.5, true, 0.0), Step::Lost);
     watch.heard(35.6, true);
-    assert_eq!(watch.look(36.0, true, 0.0), Step::Wait, "it reports on a task again");
+    assert_eq!(watch.check(36.0, true, 0.0), Step::Wait, "it reports on a task again");
 }
 
 /// A silent connection must be replaced by the next one that comes up, so that no probe is spent on it and no
@@ -97,7 +100,7 @@
 fn a_dial_that_comes_up_takes_a_mute_connections_place() {
     assert_eq!(simulate(Dial::Up, false, 0.25, false), (1.25, vec![Step::Swap]));
     let (at, steps) = simulate(Dial::Up, true, 0.25, false);
-    assert_eq!((at, steps.ends_with(&[Step::HearOut, Step::Close])), (5.75, true));
+    assert_eq!((at, steps.ends_with(&[Step::ReadNewToEnd, Step::Close])), (5.75, true));
     assert_eq!(simulate(Dial::Silent, false, 0.25, false).1, vec![Step::Close]);
 }
 
@@ -106,10 +109,10 @@
 fn dials_are_spread_by_each_planners_draw() {
     let second = |draw: f64| {
         let mut watch = Watch::new(0.0);
-        let looks = (1..400).map(|n| f64::from(n) * 0.01);
-        let mut dials = looks.filter(|&now| {
-            let due = watch.look(now, true, draw) == Step::Dial;
-            due && watch.dialled(now, Dial::Up, true) == Step::HearOut
+        let checks = (1..400).map(|n| f64::from(n) * 0.01);
+        let mut dials = checks.filter(|&now| {
+            let due = watch.check(now, true, draw) == Step::Dial;
+            due && watch.dialled(now, Dial::Up, true) == Step::ReadNewToEnd
         });
         dials.nth(1).expect("a second dial")
     };
--- a/src/decide/start_times/mod.rs
+++ b/src/decide/start_times/mod.rs
@@ -24,7 +24,7 @@
 
 /// Circumstances in which a notice of the machine list arrived.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard {
+pub struct NoticeContext {
     /// The time by this planner's clock.
     pub now: Seconds,
     /// The notice was sent as the event happened; it is not part of a replayed list of older events.
@@ -48,7 +48,7 @@
 
     /// Returns when a machine started, by this planner's clock; `listed` is the start time in the list, 0 or
     /// less for long ago.
-    pub fn take(&mut self, machine: MachineId, listed: Seconds, heard: Heard) -> Seconds {
+    pub fn take(&mut self, machine: MachineId, listed: Seconds, heard: NoticeContext) -> Seconds {
         if listed <= 0.0 {
             return listed;
         }
@@ -67,7 +67,7 @@
         self.starts.remove(&machine);
     }
 
-    fn local_time(&self, listed: Seconds, heard: Heard) -> Seconds {
+    fn local_time(&self, listed: Seconds, heard: NoticeContext) -> Seconds {
         let age = heard.now - listed;
         let is_likely = age >= 0.0 && (!heard.is_live || age <= self.warm_within_s);
         if is_likely && !heard.has_stepped {
--- a/src/decide/start_times/tests.rs
+++ b/src/decide/start_times/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 const MACHINE: MachineId = MachineId(1);
-const LIVE: Heard = Heard { now: 10_000.0, is_live: true, has_stepped: false };
+const LIVE: NoticeContext = NoticeContext { now: 10_000.0, is_live: true, has_stepped: false };
 
 /// A machine that is warm must not be treated as cold because the list arrives late: a listed start time
 /// that is possible is used, and listing it again changes nothing.
@@ -9,9 +9,9 @@
 fn what_the_list_tells_counts_while_clocks_agree() {
     let mut starts = StartTimes::new(16.0);
     assert_eq!(starts.take(MACHINE, 9_996.0, LIVE), 9_996.0);
-    let later = Heard { now: 10_100.0, has_stepped: true, ..LIVE };
+    let later = NoticeContext { now: 10_100.0, has_stepped: true, ..LIVE };
     assert_eq!(starts.take(MACHINE, 9_996.0, later), 9_996.0, "the start is not a new one");
-    let at_start = Heard { is_live: false, ..LIVE };
+    let at_start = NoticeContext { is_live: false, ..LIVE };
     assert_eq!(starts.take(MachineId(2), 100.0, at_start), 100.0, "it has been warm for long");
     assert_eq!(starts.take(MachineId(3), 0.0, LIVE), 0.0);
 }
@@ -20,11 +20,11 @@
 #[test]
 fn a_start_after_the_clock_stepped_counts_from_when_it_was_heard() {
     for (listed, heard) in [
-        (6_399.0, LIVE),                                // the list's clock is an hour behind
-        (13_599.0, LIVE),                               // the list's clock is an hour ahead
-        (13_599.0, Heard { is_live: false, ..LIVE }),   // the same, in a replayed list
-        (9_990.0, Heard { has_stepped: true, ..LIVE }), // this planner's clock has stepped
-        (9_990.0, Heard { has_stepped: true, is_live: false, ..LIVE }),
+        (6_399.0, LIVE),                                        // the list's clock is an hour behind
+        (13_599.0, LIVE),                                       // the list's clock is an hour ahead
+        (13_599.0, NoticeContext { is_live: false, ..LIVE }),   // the same, in a replayed list
+        (9_990.0, NoticeContext { has_stepped: true, ..LIVE }), // this planner's clock has stepped
+        (9_990.0, NoticeContext { has_stepped: true, is_live: false, ..LIVE }),
     ] {
         assert_eq!(StartTimes::new(16.0).take(MACHINE, listed, heard), 10_000.0, "{listed} {heard:?}");
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,7 +8,7 @@
 //! use burlhook::*;
 //!
 //! let class = Class {
-//!     effect: Effect::Repeatable,
+//!     idempotency: Idempotency::Repeatable,
 //!     deadline_s: 5.0,
 //!     on_time_s: 1.0,
 //!     late_share: 0.1,
@@ -33,8 +33,8 @@
 //!     reports_used: false,
 //!     probes: true,
 //!     max_attempts: 4,
-//!     cold_bears: 50.0,
-//!     fall_s: 3.0,
+//!     cold_offer_limit: 50.0,
+//!     cold_window_s: 3.0,
 //!     warm_within_s: 18.0,
 //!     tick_s: 0.002,
 //!     over_share_worth: 0.1,
@@ -61,7 +61,7 @@
 //!     service: ServiceId(7),
 //!     room: Room { cores: 2.0, memory: 3.0 },
 //!     deadline: 106.0,
-//!     life_s: None,
+//!     expected_runtime_s: None,
 //!     limits: TaskLimits::default(),
 //! };
 //! placer.handle(101.0, Event::Submitted { request: RequestId(1), task }, &mut actions);
--- a/src/life/config.rs
+++ b/src/life/config.rs
@@ -2,7 +2,7 @@
 
 use crate::document::Faults;
 use crate::wire::hub::Bounds;
-use crate::wire::platform::board::Known;
+use crate::wire::platform::board::KnownEvents;
 use crate::wire::platform::Source;
 use serde::Deserialize;
 use serde_json::Value;
@@ -88,7 +88,7 @@
         let sockets = f64::from(self.sockets);
         let links = sockets - sockets * OWNERS_HOLD - (sockets * SPARE.0).max(SPARE.1);
         let links = links.max(1.0) as usize;
-        Bounds { owners: owners as usize, owner_queue: queue(owners), box_queue: queue(BOXES), links }
+        Bounds { owners: owners as usize, owner_queue: queue(owners), machine_queue: queue(BOXES), links }
     }
 }
 
@@ -103,7 +103,7 @@
     limits: Limits,
     board: Option<String>,
     #[serde(default)]
-    known: Known,
+    known: KnownEvents,
     settings: Value,
 }
 
@@ -116,7 +116,7 @@
     pub seed: u64,
     pub limits: Limits,
     pub board: Option<String>,
-    pub known: Arc<Known>,
+    pub known: Arc<KnownEvents>,
     pub settings: Value,
 }
 
--- a/src/life/mod.rs
+++ b/src/life/mod.rs
@@ -6,10 +6,10 @@
 
 use crate::decide::shutdown::{Step, Timeline};
 use crate::placer::Settings;
-use crate::state::{Core, Input, Keep};
+use crate::state::{Core, CoreBounds, Input};
 use crate::vocabulary::{self, Vocabulary};
 use crate::wire::hub::{Counts, Hub, Turns};
-use crate::wire::platform::{Source, Telling};
+use crate::wire::platform::{EventTiming, Source};
 use crate::wire::{peers, platform, rest};
 use config::{Config, ConfigError};
 use operators::Operators;
@@ -142,9 +142,9 @@
     let (settings, words) = settings_of(config)?;
     // Where nobody can look, nothing is kept for looking at.
     let (waiting_bytes, standing) = config.limits.jobs();
-    let nothing = Keep { waiting_bytes, standing, history: 0, over: 0, over_s: 0.0 };
+    let nothing = CoreBounds { waiting_bytes, standing, history: 0, over: 0, over_s: 0.0 };
     let rest = operators.and_then(|o| o.rest.as_ref());
-    let keep = rest.map_or(nothing, |rest| Keep {
+    let keep = rest.map_or(nothing, |rest| CoreBounds {
         history: rest.history,
         over: rest.keep_over,
         over_s: rest.keep_over_s,
@@ -262,12 +262,16 @@
             self.join(&hub, operators).await?;
             take(&hub, operators);
         }
-        tokio::spawn(hub.clone().keep_time());
-        tokio::spawn(platform::hold_links(hub.clone(), wanted, config.dial()));
+        tokio::spawn(hub.clone().run_alarms());
+        tokio::spawn(platform::run_machine_links(hub.clone(), wanted, config.dial()));
         for (at, event) in config.known.notices.iter().enumerate() {
-            platform::take_in(&hub, event, if at == 0 { Telling::Kept } else { Telling::Earlier });
+            platform::apply_event(
+                &hub,
+                event,
+                if at == 0 { EventTiming::FromConfig } else { EventTiming::Earlier },
+            );
         }
-        tokio::spawn(platform::follow(hub.clone(), self.board.subscribe(), config.known.rev));
+        tokio::spawn(platform::follow_machine_list(hub.clone(), self.board.subscribe(), config.known.rev));
         let bind = |e| ConfigError::Listen(config.listen.clone(), e);
         let listener = TcpListener::bind(&config.listen).await.map_err(bind)?;
         let address = listener.local_addr().map_err(bind)?;
--- a/src/placer/interface.rs
+++ b/src/placer/interface.rs
@@ -94,7 +94,7 @@
 
 /// Whether tasks of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// A second copy does no harm.
     Repeatable,
     /// Machines of one group discard repeats with the same key for some time after the first send.
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Whether its tasks may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Usual time that an owner waits for a task to be placed.
     pub deadline_s: Seconds,
     /// Time within which a first start has its full worth.
@@ -187,10 +187,10 @@
     pub probes: bool,
     /// Most attempts for one request.
     pub max_attempts: usize,
-    /// Number of offers within `fall_s`, from all placers, that a cold machine can always handle.
-    pub cold_bears: f64,
+    /// Number of offers within `cold_window_s`, from all placers, that a cold machine can always handle.
+    pub cold_offer_limit: f64,
     /// Window over which a cold machine's offers are counted.
-    pub fall_s: Seconds,
+    pub cold_window_s: Seconds,
     /// Time after its start during which a machine counts as cold.
     pub warm_within_s: Seconds,
     /// Shortest interval between batches of events.
@@ -228,7 +228,7 @@
                 "a class that must be spread allows zero tasks in a place",
             ),
             (
-                !(self.tick_s >= 0.0 && positive(self.fall_s)),
+                !(self.tick_s >= 0.0 && positive(self.cold_window_s)),
                 "the tick is negative or the cold window is not above zero",
             ),
         ];
@@ -276,7 +276,7 @@
     /// When the owner gives up on this request.
     pub deadline: Seconds,
     /// Expected run time, if the owner gave one.
-    pub life_s: Option<Seconds>,
+    pub expected_runtime_s: Option<Seconds>,
     /// The operators' limits for it.
     pub limits: TaskLimits,
 }
--- a/src/placer/rules.rs
+++ b/src/placer/rules.rs
@@ -61,7 +61,7 @@
 /// First wait after a failed list call; doubles with each failure, up to this share of `ask_every_s`.
 const LIST_RETRY_FIRST_S: Seconds = 0.5;
 const LIST_RETRY_MAX_SHARE: f64 = 0.25;
-/// Multiple of `fall_s` over which offers to a cold machine are counted, as they may arrive in bursts.
+/// Multiple of `cold_window_s` over which offers to a cold machine are counted, as they may arrive in bursts.
 const COLD_WINDOWS: f64 = 1.25;
 /// Share of a cold machine's offer limit that all placers together use.
 const COLD_BUDGET_SHARE: f64 = 0.8;
@@ -284,7 +284,7 @@
     /// Number of probes that may be sent only to get fresh reports.
     probe_credit: f64,
     /// Number of machines that all calls of `choose` so far have examined.
-    pub looked_at: u64,
+    pub machines_examined: u64,
 }
 
 impl Placer {
@@ -317,7 +317,7 @@
             timer_at: 0.0,
             queue_checked_at: f64::NEG_INFINITY,
             probe_credit: 0.0,
-            looked_at: 0,
+            machines_examined: 0,
             settings,
         })
     }
@@ -616,8 +616,8 @@
 
     /// Rule 2: whether the request may be refused: a refusal promises that a retry is harmless.
     fn may_refuse(&self, request: &Request) -> bool {
-        let effect = self.settings.classes[request.task.class].effect;
-        matches!(effect, Effect::Repeatable | Effect::Keyed { group: Place::All, .. })
+        let idempotency = self.settings.classes[request.task.class].idempotency;
+        matches!(idempotency, Idempotency::Repeatable | Idempotency::Keyed { group: Place::All, .. })
             || request.attempts.iter().all(|a| !a.may_have_run)
     }
 
@@ -644,11 +644,11 @@
         if request.attempts.iter().any(|a| a.link_broke && a.machine == id) {
             return false;
         }
-        match self.settings.classes[request.task.class].effect {
+        match self.settings.classes[request.task.class].idempotency {
             _ if !request.task.limits.copies => uncertain.next().is_none(),
-            Effect::Repeatable => true,
-            Effect::Once => uncertain.next().is_none(),
-            Effect::Keyed { group, window_s } => {
+            Idempotency::Repeatable => true,
+            Idempotency::Once => uncertain.next().is_none(),
+            Idempotency::Keyed { group, window_s } => {
                 let window_s = window_s.min(request.task.limits.window_s);
                 uncertain.all(|a| {
                     now < a.sent_at + window_s - KEYED_MARGIN_S && self.share_place(group, a.machine, id)
@@ -692,9 +692,9 @@
         if !machine.is_cold(now, &self.settings) {
             return true;
         }
-        let window = self.settings.fall_s * COLD_WINDOWS;
+        let window = self.settings.cold_window_s * COLD_WINDOWS;
         let sent = machine.recent_offers.iter().filter(|&&at| at > now - window).count() as f64;
-        let budget = self.settings.cold_bears * COLD_BUDGET_SHARE;
+        let budget = self.settings.cold_offer_limit * COLD_BUDGET_SHARE;
         let part = budget / f64::from(self.settings.placers);
         let allowed = if part >= 1.0 {
             sent + 1.0 <= part
@@ -709,7 +709,7 @@
     pub fn spaces(&self, now: Seconds) -> Vec<Space> {
         let space = |(&machine, m): (&MachineId, &Machine)| {
             let left = m.limit - (m.view.unwrap_or_default() + m.counter_room).at_least(m.own_room);
-            let part = self.settings.cold_bears * COLD_BUDGET_SHARE / f64::from(self.settings.placers);
+            let part = self.settings.cold_offer_limit * COLD_BUDGET_SHARE / f64::from(self.settings.placers);
             let offers = if m.is_cold(now, &self.settings) { part as usize } else { usize::MAX };
             let (offers, size, limit, kind) =
                 (offers.saturating_sub(m.recent_offers.len()), m.size, m.limit, m.kind);
@@ -750,7 +750,7 @@
         let (total, count) = loads.fold((0.0, 0u32), |(sum, count), load| (sum + load, count + 1));
         let average = total / f64::from(count.max(1));
         for (&id, machine) in &self.machines {
-            self.looked_at += 1;
+            self.machines_examined += 1;
             if self.eligible(now, request, id, machine) {
                 let mut candidate = self.score(now, &request.task, id, machine, average);
                 let errored = request.attempts.iter().any(|a| a.errored && a.machine == id);
@@ -804,7 +804,7 @@
     /// Worth of a task for each second and each share of the fleet that it takes.
     fn worth(&self, now: Seconds, request: &Request) -> f64 {
         let (task, class) = (&request.task, &self.settings.classes[request.task.class]);
-        let runtime = task.life_s.unwrap_or(self.mean_runtime.value).max(1.0);
+        let runtime = task.expected_runtime_s.unwrap_or(self.mean_runtime.value).max(1.0);
         let late = now > request.submitted_at + class.on_time_s;
         let start_worth = class.prompt_start_s * if late { class.late_share } else { 1.0 };
         let quota = task.tenant.and_then(|t| self.settings.tenants.get(t)).map(|t| t.quota_cores);
@@ -867,7 +867,7 @@
         machine.unanswered_offers += 1;
         machine.kept_until.insert(task.service, f64::INFINITY);
         machine.recent_offers.push_back(now);
-        let from = now - self.settings.fall_s * COLD_WINDOWS;
+        let from = now - self.settings.cold_window_s * COLD_WINDOWS;
         machine.recent_offers.retain(|&sent_at| sent_at > from);
         // One task at a time tests a suspect machine: the back-off runs on until this attempt is given up.
         if machine.outage.failures > 0 {
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -36,10 +36,10 @@
 //! ```
 
 use crate::decide::fleet::settings::FleetSettings;
-use crate::decide::fleet::{Life, Member};
+use crate::decide::fleet::{Incarnation, Member};
 use crate::life::operators::{self, Operators};
 use crate::placer::*;
-use crate::state::{Core, Effect, GroupAsk, GroupId, Input, Keep, Owner, Refusal, Spec};
+use crate::state::{Core, CoreBounds, Effect, GroupId, GroupSubmission, Input, Owner, Refusal, Spec};
 use crate::vocabulary;
 use crate::wire::peers::words;
 use crate::wire::platform::node::{self, cause, SetUp};
@@ -165,7 +165,7 @@
     /// If no planner can work with the settings.
     pub fn new(settings: &Value, start: Start) -> Result<Planner, Rejected> {
         let (settings, names) = vocabulary::settings(settings).map_err(Rejected::Settings)?;
-        let keep = Keep {
+        let keep = CoreBounds {
             waiting_bytes: start.waiting_bytes,
             standing: start.standing,
             history: 0,
@@ -207,11 +207,11 @@
         let path = Path::new("operators.json5");
         let text = crate::document::Text::new(path.to_string_lossy(), text);
         let settings = self.core.settings().clone();
-        let operators = operators::read(path, &text, &settings, self.core.words());
+        let operators = operators::read(path, &text, &settings, self.core.vocabulary());
         operators.map_err(|faults| Rejected::Operators(faults.lines()))
     }
 
-    fn incarnation(&self) -> Life {
+    fn incarnation(&self) -> Incarnation {
         self.start.seed
     }
 
@@ -239,7 +239,7 @@
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
         if let board::Line::Event(event) = board::read(line).map_err(Rejected::List)? {
-            let (listed_kind, notices) = event.notices(self.core.words());
+            let (listed_kind, notices) = event.notices(self.core.vocabulary());
             self.apply(now, Input::List { kind: kind.unwrap_or(listed_kind), notices }, out);
         }
         Ok(())
@@ -288,7 +288,7 @@
             .core
             .group_settings()
             .ok_or_else(|| rejected("the operators' file has no section for groups"))?;
-        let class = self.core.words().class(&group.class).ok_or_else(|| rejected("unknown class"))?;
+        let class = self.core.vocabulary().class(&group.class).ok_or_else(|| rejected("unknown class"))?;
         let figures = settings.figures(&vec![(class, group.service.as_str()); group.members]);
         if group.members > figures.members {
             return Err(rejected("too many members"));
@@ -300,7 +300,7 @@
             service: ServiceId(vocabulary::key(&group.service).0),
             room: group.room,
             deadline,
-            life_s: None,
+            expected_runtime_s: None,
             limits: TaskLimits::default(),
         };
         let spec = Arc::new(Spec {
@@ -309,7 +309,7 @@
             service: group.service.clone(),
             ..Spec::default()
         });
-        let submission = GroupAsk {
+        let submission = GroupSubmission {
             group: GroupId(group.id),
             members: vec![(spec, task); group.members],
             deadline,
@@ -334,7 +334,7 @@
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
         let message = node::read(line).map_err(|error| Rejected::Machine(error.to_string()))?;
-        if let Some(input) = message.input(machine, self.core.words()) {
+        if let Some(input) = message.input(machine, self.core.vocabulary()) {
             self.apply(now, input, out);
         }
         Ok(())
@@ -378,8 +378,8 @@
     }
 
     /// Number of machines that all placements so far have examined.
-    pub fn looked_at(&self) -> u64 {
-        self.core.looked_at()
+    pub fn machines_examined(&self) -> u64 {
+        self.core.machines_examined()
     }
 
     /// Number of tasks placed at a machine.
@@ -420,7 +420,9 @@
             }
             Effect::GiveUp { machine, job } => out.push(to_machine(machine, node::stop(job, cause::OVER))),
             Effect::Stop { machine, job, cause } => out.push(to_machine(machine, node::stop(job, cause))),
-            Effect::Ask { machine, ask } => out.push(to_machine(machine, node::check(node::PROOF | ask))),
+            Effect::SendFence { machine, ask } => {
+                out.push(to_machine(machine, node::check(node::FENCE_FLAG | ask)))
+            }
             Effect::Probe { machine } => {
                 self.probes += 1;
                 out.push(to_machine(machine, node::check(self.probes)));
@@ -453,7 +455,7 @@
                 let cause = if outcome == Outcome::Ok { cause::OVER } else { cause::RESET };
                 out.extend(to_client(owner, owner::release(job.0, cause, None)));
             }
-            Effect::Say { to, words } => self.send_to_planner(to, &words, out),
+            Effect::SendToPeer { to, words } => self.send_to_planner(to, &words, out),
             // Effects on connections alone: a simulated connection has no timers.
             Effect::Watch { .. } | Effect::Expel { .. } => {}
             Effect::AttemptOver { .. } | Effect::CutShort { .. } => {}
@@ -461,7 +463,12 @@
         }
     }
 
-    fn send_to_planner(&self, to: Member, messages: &[crate::decide::budgets::Word], out: &mut Vec<Output>) {
+    fn send_to_planner(
+        &self,
+        to: Member,
+        messages: &[crate::decide::budgets::PeerMessage],
+        out: &mut Vec<Output>,
+    ) {
         let Some(fleet) = &self.fleet else { return };
         let own = fleet.plan.place.0;
         for bytes in words::write(fleet.digest(), own, self.incarnation(), messages) {
--- a/src/simulation/tests.rs
+++ b/src/simulation/tests.rs
@@ -56,7 +56,7 @@
     let [Output::ToMachine { machine: to, bytes }] = &out[..] else { panic!("expected one offer: {out:?}") };
     let offer: Value = serde_json::from_slice(bytes).expect("a line of JSON");
     assert_eq!((*to, &offer["kind"], &offer["uid"]), (machine, &json!("launch"), &json!("0000000000000005")));
-    assert_eq!(planner.looked_at(), 1);
+    assert_eq!(planner.machines_examined(), 1);
     out.clear();
     let line = br#"{"kind": "running", "uid": "0000000000000005", "meta": {}, "body": "ok"}"#;
     planner.answer(101.5, machine, line, &mut out).expect("valid answer");
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -8,7 +8,7 @@
 
 /// Seconds. Time that a machine has to confirm a cancellation: the same as for any connection check.
 const CONFIRM_TIMEOUT_S: Seconds = 1.0;
-/// Share of `fall_s` that an attempt for a cold machine may wait in the send queue. The placer counts
+/// Share of `cold_window_s` that an attempt for a cold machine may wait in the send queue. The placer counts
 /// attempts when it decides them, over windows that are longer by this share (`COLD_WINDOWS` of the placer).
 const COLD_QUEUE_SHARE: f64 = 0.25;
 /// Seconds. Time kept free before the deadline for the final answer of a job whose cancellation is not
@@ -36,18 +36,18 @@
         // A group retries a member only once its earlier copy is proved gone; the repeat window applies all
         // the same.
         let of_group = matches!(job.owner, Owner::Group { .. });
-        let in_window = match (self.settings.classes[job.task.class].effect, job.may_have_run_since) {
+        let in_window = match (self.settings.classes[job.task.class].idempotency, job.may_have_run_since) {
             (_, None) => true,
             (_, Some(_)) if !limits.copies && (job.own_attempt_may_have_run || !of_group) => false,
-            (Effect_::Repeatable, _) => true,
-            (Effect_::Once, Some(_)) => false,
-            (Effect_::Keyed { window_s, .. }, Some(since)) => now < since + window_s.min(limits.window_s),
+            (Idempotency::Repeatable, _) => true,
+            (Idempotency::Once, Some(_)) => false,
+            (Idempotency::Keyed { window_s, .. }, Some(since)) => now < since + window_s.min(limits.window_s),
         };
         // These conditions never become true again, so that the placer need not retry.
         let is_permanent =
             !in_window || job.unconfirmed || attempt >= self.settings.max_attempts.min(limits.attempts);
-        let in_place = match self.settings.classes[job.task.class].effect {
-            Effect_::Keyed { group, .. } => job.is_colocated(group, location),
+        let in_place = match self.settings.classes[job.task.class].idempotency {
+            Idempotency::Keyed { group, .. } => job.is_colocated(group, location),
             _ => true,
         };
         // A machine's answers carry no attempt number. If an earlier attempt was sent to the same machine, a
@@ -73,14 +73,14 @@
         let until = give_up_at.min(job.task.deadline).min(now + limits.attempt_s);
         // It may stay in the send queue until its repeat window ends, or until the cold machine's next share
         // of attempts is due.
-        let window_ends = match self.settings.classes[job.task.class].effect {
-            Effect_::Keyed { window_s, .. } => {
+        let window_ends = match self.settings.classes[job.task.class].idempotency {
+            Idempotency::Keyed { window_s, .. } => {
                 job.may_have_run_since.map(|since| since + window_s.min(limits.window_s))
             }
             _ => None,
         };
         let is_cold = entry.is_some_and(|e| e.started > 0.0 && now < e.started + self.settings.warm_within_s);
-        let share_ends = is_cold.then_some(now + self.settings.fall_s * COLD_QUEUE_SHARE);
+        let share_ends = is_cold.then_some(now + self.settings.cold_window_s * COLD_QUEUE_SHARE);
         let send_by = window_ends.into_iter().chain(share_ends).fold(until, f64::min);
         self.last_fence += u64::from(same_machine_again);
         let fence = same_machine_again.then_some(self.last_fence);
@@ -230,7 +230,7 @@
         if !self.settings.probes {
             return self.cancel_unconfirmed(now, id, attempt, effects);
         }
-        effects.push(Effect::Ask { machine, ask });
+        effects.push(Effect::SendFence { machine, ask });
     }
 
     /// Cancels an attempt that was sent. It stays open until its machine confirms the cancellation, or ends
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -3,8 +3,8 @@
 
 use super::alarms::Alarm;
 use super::*;
-use crate::decide::budgets::{Books, Plan, State, Word};
-use crate::decide::fleet::{Life, Member, Micros};
+use crate::decide::budgets::{BudgetLedger, PeerMessage, Plan, State};
+use crate::decide::fleet::{Incarnation, Member, Micros};
 use crate::decide::limits::micros;
 
 /// The fleet, as readers see it.
@@ -27,21 +27,21 @@
         let now = micros(now);
         let (fleet, budgets) = (books.fleet(), books.states(now));
         let remaining_s = |until: Micros| until.saturating_sub(now) as f64 / 1e6;
-        let slots = fleet.ground().slots.iter().filter(|(_, until)| now < *until);
+        let slots = fleet.slot_leases().slots.iter().filter(|(_, until)| now < *until);
         let slots = slots.map(|(slot, until)| (*slot, remaining_s(*until))).collect();
         Some(FleetView { place: fleet.place(), here: fleet.here(now), slots, budgets })
     }
 
-    pub(super) fn join(&mut self, now: Seconds, plan: &Plan, life: Life) {
-        self.limits.limits.join(Books::new(plan, life, micros(now)));
+    pub(super) fn join(&mut self, now: Seconds, plan: &Plan, life: Incarnation) {
+        self.limits.limits.join(BudgetLedger::new(plan, life, micros(now)));
         self.alarm(now, Alarm::Fleet);
     }
 
     pub(super) fn handle_peer_messages(
         &mut self,
         now: Seconds,
-        from: (Member, Life),
-        messages: Vec<Word>,
+        from: (Member, Incarnation),
+        messages: Vec<PeerMessage>,
         effects: &mut Vec<Effect>,
     ) {
         let Some(books) = self.limits.limits.books() else { return };
@@ -70,8 +70,8 @@
 }
 
 /// Sends the messages, collected into one effect per planner.
-fn send_messages(out: Vec<(Member, Word)>, effects: &mut Vec<Effect>) {
-    let mut by_member: BTreeMap<Member, Vec<Word>> = BTreeMap::new();
+fn send_messages(out: Vec<(Member, PeerMessage)>, effects: &mut Vec<Effect>) {
+    let mut by_member: BTreeMap<Member, Vec<PeerMessage>> = BTreeMap::new();
     out.into_iter().for_each(|(to, word)| by_member.entry(to).or_default().push(word));
-    effects.extend(by_member.into_iter().map(|(to, words)| Effect::Say { to, words }));
+    effects.extend(by_member.into_iter().map(|(to, words)| Effect::SendToPeer { to, words }));
 }
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -4,7 +4,7 @@
 
 use super::machines::CAUSE_CUT;
 use super::*;
-use crate::decide::groups::fit::{self, Lacks, Need};
+use crate::decide::groups::fit::{self, DoesNotFit, Need};
 use crate::decide::groups::settings::GroupSettings;
 use crate::decide::groups::starts::{Ends, Starts};
 pub(super) use crate::decide::groups::Event;
@@ -207,7 +207,7 @@
         }
     }
 
-    pub(super) fn submit_group(&mut self, now: Seconds, ask: GroupAsk, effects: &mut Vec<Effect>) {
+    pub(super) fn submit_group(&mut self, now: Seconds, ask: GroupSubmission, effects: &mut Vec<Effect>) {
         let id = ask.group;
         if self.groups.records.contains_key(&id) {
             return;
@@ -346,12 +346,12 @@
         let reserved_needs: Vec<Need> = self.groups.records.iter().flat_map(reserved).collect();
         let spaces = self.placer.spaces(now);
         let event = match fit::admit(&needs, &spaces, &reserved_needs, record.share) {
-            Ok(()) => Event::LetIn,
-            Err(Lacks::Now) => {
+            Ok(()) => Event::Admitted,
+            Err(DoesNotFit::Now) => {
                 let (ends, mean) = (self.groups.ends.rate(now), self.groups.ends.mean());
-                Event::NoRoom { retry_in_s: fit::away(&needs, &spaces, ends, mean) }
+                Event::NoRoom { retry_in_s: fit::retry_after(&needs, &spaces, ends, mean) }
             }
-            Err(Lacks::Ever | Lacks::Share) => Event::NoRoom { retry_in_s: NEVER_RETRY_S },
+            Err(DoesNotFit::Ever | DoesNotFit::Share) => Event::NoRoom { retry_in_s: NEVER_RETRY_S },
         };
         self.on_group_event(now, id, event, effects);
     }
@@ -374,7 +374,7 @@
         let task = Task { deadline: deadline.min(of.task.deadline), ..of.task };
         let spec = Arc::new(Spec { name: format!("{:016x}", job.0), ..Spec::clone(&of.spec) });
         let owner = Owner::Group { group: id, member };
-        self.submit(now, Ask { job, owner, spec, task }, effects);
+        self.submit(now, JobSubmission { job, owner, spec, task }, effects);
     }
 
     fn finish_group(&mut self, now: Seconds, id: GroupId, effects: &mut Vec<Effect>) {
--- a/src/state/groups/tests.rs
+++ b/src/state/groups/tests.rs
@@ -98,7 +98,7 @@
             let (machine, key) = (MachineId(n), MachineKey(u64::from(n)));
             let (zone, cell, free) = (ZoneId(0), CellId(0), Room { cores: 100.0, memory: 200.0 });
             let entry = Entry { machine, key, zone, cell, kind: Some(0), standing, free, started };
-            Notice { entry, address: format!("a:{n}") }
+            MachineNotice { entry, address: format!("a:{n}") }
         };
         self.apply_input(Input::List { kind: ListKind::Changes, notices: all.iter().map(notice).collect() });
     }
@@ -294,7 +294,8 @@
             let class = usize::from(at % 3 == 2);
             let limits = TaskLimits::default();
             let service = ServiceId(at as u64 % 4);
-            let task = Task { class, tenant: None, service, room, deadline, life_s: None, limits };
+            let task =
+                Task { class, tenant: None, service, room, deadline, expected_runtime_s: None, limits };
             let key = (class == 1).then(|| format!("{id}/{at}"));
             let class = ["stateless", "keyed"][class].to_string();
             (Arc::new(Spec { class, key, ..Spec::default() }), task)
@@ -303,7 +304,7 @@
         let (group, members) = (GroupId(id), (0..members).map(member).collect());
         self.open.insert(group);
         let (share, key, digest) = (1.0, Some(format!("g{id}")), 0);
-        self.apply_input(Input::SubmitGroup(GroupAsk {
+        self.apply_input(Input::SubmitGroup(GroupSubmission {
             group,
             members,
             deadline,
--- a/src/state/interface.rs
+++ b/src/state/interface.rs
@@ -1,8 +1,8 @@
 //! The interface of the core: its inputs, its effects, and the states and final answers of jobs.
 
 use super::DepartureId;
-use crate::decide::budgets::{Plan, Word};
-use crate::decide::fleet::{Life, Member};
+use crate::decide::budgets::{PeerMessage, Plan};
+use crate::decide::fleet::{Incarnation, Member};
 use crate::decide::groups::settings::GroupSettings;
 use crate::decide::groups::Policy;
 use crate::decide::limits::{Table, Why};
@@ -33,7 +33,7 @@
 
 /// A request to place a group.
 #[derive(Clone, Debug)]
-pub struct GroupAsk {
+pub struct GroupSubmission {
     /// The id assigned by the API through which the group came.
     pub group: GroupId,
     /// Of each member: the data forwarded to its machine, and the input of the placement decision.
@@ -79,7 +79,7 @@
 
 /// A request to place a job.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct JobSubmission {
     /// The id assigned by the API through which the job came; never reused.
     pub job: RequestId,
     /// The client that receives the answers.
@@ -92,7 +92,7 @@
 
 /// The state of one machine as the machine list gives it.
 #[derive(Clone, Debug)]
-pub struct Notice {
+pub struct MachineNotice {
     /// The entry that is passed to the placer.
     pub entry: Entry,
     /// The address on which the machine listens.
@@ -103,13 +103,13 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// An update of the machine list: a complete list or changes.
-    List { kind: ListKind, notices: Vec<Notice> },
+    List { kind: ListKind, notices: Vec<MachineNotice> },
     /// A new job.
-    Submit(Ask),
+    Submit(JobSubmission),
     /// A task that is already running at a machine, reported by its owner.
-    Adopt { ask: Ask, machine: MachineId },
+    Adopt { ask: JobSubmission, machine: MachineId },
     /// A new group, of which either all members or none are placed.
-    SubmitGroup(GroupAsk),
+    SubmitGroup(GroupSubmission),
     /// The owner of a group cancels its placement, or stops it.
     CancelGroup { group: GroupId },
     /// The planner shuts down. Groups that are not completely placed are cancelled, every pending request is
@@ -140,7 +140,7 @@
     },
     /// The machine answered the connection check numbered `ask`, on the same connection. It has received all
     /// that was written there before the check.
-    Heard { machine: MachineId, ask: u64 },
+    FenceAnswered { machine: MachineId, ask: u64 },
     /// A machine sends an informational note about a task.
     Noted { machine: MachineId, job: RequestId, note: Note },
     /// A probe of a machine was answered, or failed.
@@ -165,9 +165,9 @@
     /// A new operators' file was rejected; the current limits stay in force.
     LimitsRefused { why: Vec<String> },
     /// The planner joins a fleet; sent once, before any other input.
-    Join { plan: Plan, life: Life },
-    /// Messages of another planner; `Life` identifies the incarnation (process start) that sent them.
-    Peer { from: (Member, Life), words: Vec<Word> },
+    Join { plan: Plan, life: Incarnation },
+    /// Messages of another planner; `Incarnation` identifies the incarnation (process start) that sent them.
+    Peer { from: (Member, Incarnation), words: Vec<PeerMessage> },
     /// Time has advanced; due alarms are handled.
     Tick,
 }
@@ -192,7 +192,7 @@
     Stop { machine: MachineId, job: RequestId, cause: u8 },
     /// Send the connection check numbered `ask` to the machine. Its answer shows that the machine received
     /// all that was written before.
-    Ask { machine: MachineId, ask: u64 },
+    SendFence { machine: MachineId, ask: u64 },
     /// Send a probe, to which the machine answers with its report.
     Probe { machine: MachineId },
     /// Keep a connection open to the machine at that address.
@@ -225,7 +225,7 @@
     /// A client violated the protocol: close its connection once it has no pending jobs.
     Expel { link: u64 },
     /// Send messages to another planner, without guaranteed delivery.
-    Say { to: Member, words: Vec<Word> },
+    SendToPeer { to: Member, words: Vec<PeerMessage> },
     /// Subscribe to the machine list.
     Subscribe,
     /// The history has a new change: wake the watchers.
@@ -277,7 +277,7 @@
 
 /// Bounds on the state that the core keeps.
 #[derive(Clone, Copy, Debug)]
-pub struct Keep {
+pub struct CoreBounds {
     /// Bytes that all pending jobs together may take.
     pub waiting_bytes: usize,
     /// Count. Maximum number of running tasks.
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -126,7 +126,7 @@
     /// Version of the last change.
     pub version: u64,
     /// The operators' limit that refused a further attempt.
-    pub turned: Option<Turned>,
+    pub turned: Option<Rejection>,
     /// What the job holds of the limits' budgets, until its final answer.
     pub(super) ticket: Option<Ticket>,
     /// Whether an attempt was charged to the limits.
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// The name of the field that is out of range.
-    pub fn admits(&self, now: Seconds, ask: &Ask) -> Result<(), &'static str> {
+    pub fn admits(&self, now: Seconds, ask: &JobSubmission) -> Result<(), &'static str> {
         let room = ask.task.room;
         let class = self.settings.classes.get(ask.task.class).ok_or("class")?;
         let (cores, memory) = (self.settings.cores_multiple, self.settings.memory_multiple);
@@ -158,7 +158,7 @@
         let faults = [
             (ask.job.0 == 0, "id"),
             (ask.spec.name.is_empty(), "name"),
-            (matches!(class.effect, Effect_::Keyed { .. }) && ask.spec.key.is_none(), "key"),
+            (matches!(class.idempotency, Idempotency::Keyed { .. }) && ask.spec.key.is_none(), "key"),
             (!(room.cores > 0.0 && room.memory > 0.0), "room"),
             (!kinds.any(|(_, kind)| room.within(limit(kind))), "room"),
             (ask.task.deadline - now > class.deadline_s * MAX_WAIT_MULTIPLE, "waiting time"),
@@ -166,7 +166,7 @@
         faults.iter().find(|(wrong, _)| *wrong).map_or(Ok(()), |(_, what)| Err(*what))
     }
 
-    pub(super) fn submit(&mut self, now: Seconds, mut ask: Ask, effects: &mut Vec<Effect>) {
+    pub(super) fn submit(&mut self, now: Seconds, mut ask: JobSubmission, effects: &mut Vec<Effect>) {
         let (id, owner) = (ask.job, ask.owner);
         ask.task.deadline = ask.task.deadline.min(self.answers_by);
         if self.jobs.contains_key(&id) {
@@ -177,7 +177,8 @@
         if self.possible_copies.may_run(id) {
             return effects.push(Effect::Failed { owner, job: id });
         }
-        let link_is_full = matches!(owner, Owner::Link(link) if self.owed(link).open >= MAX_PENDING_PER_LINK);
+        let link_is_full =
+            matches!(owner, Owner::Link(link) if self.link_load(link).open >= MAX_PENDING_PER_LINK);
         if self.is_full() || link_is_full || now >= self.answers_by {
             let (why, retry_in_s) = (Refusal::Busy, BUSY_RETRY_S);
             return effects.push(Effect::Refused { owner, job: id, why, retry_in_s });
@@ -219,7 +220,7 @@
         }
     }
 
-    pub(super) fn add(&mut self, now: Seconds, ask: Ask, phase: Phase) {
+    pub(super) fn add(&mut self, now: Seconds, ask: JobSubmission, phase: Phase) {
         let (mut may_have_run_since, mut may_have_run_location) = (None, None);
         if let (Some(key), Owner::Rest | Owner::Group { .. }) = (&ask.spec.key, ask.owner) {
             let at = (ask.spec.class.clone(), key.clone());
@@ -229,10 +230,11 @@
             let before = before.filter(|j| j.machine.is_none());
             may_have_run_location = before.and_then(|j| j.may_have_run_location);
             let risky = before.and_then(|j| j.may_have_run_since);
-            may_have_run_since = risky.filter(|&since| match self.settings.classes[ask.task.class].effect {
-                Effect_::Keyed { window_s, .. } => now < since + window_s,
-                _ => true,
-            });
+            may_have_run_since =
+                risky.filter(|&since| match self.settings.classes[ask.task.class].idempotency {
+                    Idempotency::Keyed { window_s, .. } => now < since + window_s,
+                    _ => true,
+                });
         }
         let job = Job {
             owner: ask.owner,
@@ -280,7 +282,13 @@
         }
     }
 
-    pub(super) fn adopt(&mut self, now: Seconds, ask: Ask, machine: MachineId, effects: &mut Vec<Effect>) {
+    pub(super) fn adopt(
+        &mut self,
+        now: Seconds,
+        ask: JobSubmission,
+        machine: MachineId,
+        effects: &mut Vec<Effect>,
+    ) {
         if self.jobs.contains_key(&ask.job) {
             return; // The owner may report a task that is already known.
         }
--- a/src/state/limits.rs
+++ b/src/state/limits.rs
@@ -61,7 +61,7 @@
     /// Number of gauges in memory.
     #[cfg(test)]
     pub fn gauges_kept(&self) -> usize {
-        self.limits.limits.kept()
+        self.limits.limits.gauge_count()
     }
 
     pub(super) fn activate_limits(&mut self, now: Seconds, table: Arc<Table>, digest: String) {
@@ -75,8 +75,8 @@
     pub(super) fn apply_limits(
         &mut self,
         now: Seconds,
-        mut ask: Ask,
-    ) -> Result<(Ask, Option<Ticket>), Turned> {
+        mut ask: JobSubmission,
+    ) -> Result<(JobSubmission, Option<Ticket>), Rejection> {
         let front = match ask.owner {
             Owner::Link(_) => Front::Platform,
             Owner::Rest | Owner::Group { .. } => Front::Rest,
@@ -100,7 +100,7 @@
     pub(super) fn release_pending(&mut self, now: Seconds, id: RequestId) {
         self.count_pending(id, false);
         if let Some(ticket) = self.jobs.get_mut(&id).and_then(|job| job.ticket.take()) {
-            self.limits.limits.over(now, ticket);
+            self.limits.limits.return_ticket(now, ticket);
         }
     }
 
@@ -110,10 +110,10 @@
         let first = !std::mem::replace(&mut job.charged, true);
         let Some(ticket) = &job.ticket else { return true };
         if first {
-            self.limits.limits.first_try(now, ticket);
+            self.limits.limits.count_first_attempt(now, ticket);
             return true;
         }
-        job.turned = self.limits.limits.further_try(now, ticket).err();
+        job.turned = self.limits.limits.take_retry(now, ticket).err();
         job.turned.is_none()
     }
 
@@ -124,7 +124,7 @@
             return true;
         }
         let Some(ticket) = &job.ticket else { return false };
-        job.turned = self.limits.limits.affords(now, ticket).err();
+        job.turned = self.limits.limits.can_retry(now, ticket).err();
         job.turned.is_some()
     }
 }
--- a/src/state/limits/tests.rs
+++ b/src/state/limits/tests.rs
@@ -28,7 +28,7 @@
         "report": {"source": "silent"}, "rules": {"ask_every_s": 10.0, "fall_s": 2.0, "warm_within_s": 16.0},
         "tick_s": 0.002, "zone": "hall-a"});
     let (settings, words) = vocabulary::settings(&boot).expect("settings");
-    let keep = Keep { waiting_bytes: 1 << 20, standing: 1000, history: 100, over: 10, over_s: 100.0 };
+    let keep = CoreBounds { waiting_bytes: 1 << 20, standing: 1000, history: 100, over: 10, over_s: 100.0 };
     Core::new(settings, words, 7, keep).expect("a core")
 }
 
@@ -71,7 +71,7 @@
                 free,
                 started: 0.0,
             };
-            Notice { entry, address: format!("a:{n}") }
+            MachineNotice { entry, address: format!("a:{n}") }
         };
         audit.handle(Input::List { kind: ListKind::Persisted, notices: (0..3).map(notice).collect() });
         audit
@@ -150,7 +150,7 @@
             service: ServiceId(1),
             room,
             deadline,
-            life_s: None,
+            expected_runtime_s: None,
             limits: TaskLimits::default(),
         };
         let (key, owner) = match rest {
@@ -173,7 +173,7 @@
             answers: 0,
         };
         self.jobs.insert(job, record);
-        self.handle(Input::Submit(Ask { job, owner, spec: Arc::new(spec), task }));
+        self.handle(Input::Submit(JobSubmission { job, owner, spec: Arc::new(spec), task }));
     }
 
     /// The open attempt with the lowest job id, or the one `skip` places after it.
--- a/src/state/machine_table/tests.rs
+++ b/src/state/machine_table/tests.rs
@@ -5,15 +5,15 @@
 use proptest::prelude::*;
 
 /// The list entry of a machine at the address with the given number.
-fn notice(machine: u32, address: u32, standing: Standing, started: u32) -> Notice {
+fn notice(machine: u32, address: u32, standing: Standing, started: u32) -> MachineNotice {
     let (id, key) = (MachineId(machine), MachineKey(u64::from(machine)));
     let (zone, cell, free) = (ZoneId(0), CellId(0), Room { cores: 9.0, memory: 18.0 });
     let started = f64::from(started);
     let entry = Entry { machine: id, key, zone, cell, kind: Some(0), standing, free, started };
-    Notice { entry, address: format!("a:{address}") }
+    MachineNotice { entry, address: format!("a:{address}") }
 }
 
-fn list(core: &mut Core, kind: ListKind, notices: Vec<Notice>) {
+fn list(core: &mut Core, kind: ListKind, notices: Vec<MachineNotice>) {
     core.apply(100.0, Input::List { kind, notices }, &mut Vec::new());
 }
 
@@ -21,14 +21,15 @@
 fn adopt(core: &mut Core, job: u64, machine: u32) {
     let room = Room { cores: 1.0, memory: 1.0 };
     let (service, limits) = (ServiceId(1), TaskLimits::default());
-    let task = Task { class: 0, tenant: None, service, room, deadline: 100.0, life_s: None, limits };
+    let task =
+        Task { class: 0, tenant: None, service, room, deadline: 100.0, expected_runtime_s: None, limits };
     let spec = Arc::new(Spec { class: "c".into(), ..Spec::default() });
-    let ask = Ask { job: RequestId(job), owner: Owner::Link(1), spec, task };
+    let ask = JobSubmission { job: RequestId(job), owner: Owner::Link(1), spec, task };
     core.apply(100.0, Input::Adopt { ask, machine: MachineId(machine) }, &mut Vec::new());
 }
 
 /// [`Core::resolve_address_conflicts`] without indexes: a search of all machines for each update.
-fn replace_by_search(core: &Core, notices: &mut Vec<Notice>) {
+fn replace_by_search(core: &Core, notices: &mut Vec<MachineNotice>) {
     let nodes: Vec<&Node> = core.nodes.nodes.values().collect();
     let mut replaced = Vec::new();
     for notice in notices.iter_mut().filter(|n| n.entry.standing != Standing::Gone) {
@@ -38,7 +39,7 @@
             notice.entry.standing = Standing::Gone;
         } else if notice.entry.standing == Standing::Ready {
             let entry = Entry { standing: Standing::Gone, ..other.entry };
-            replaced.push(Notice { entry, address: other.address.clone() });
+            replaced.push(MachineNotice { entry, address: other.address.clone() });
         }
     }
     notices.retain(|n| !replaced.iter().any(|g| g.entry.machine == n.entry.machine));
@@ -73,7 +74,7 @@
 /// One random step.
 #[derive(Clone, Debug)]
 enum Step {
-    List(ListKind, Vec<Notice>),
+    List(ListKind, Vec<MachineNotice>),
     Adopt(u64, u32),
     Cancel(u64),
 }
@@ -121,7 +122,7 @@
     core.apply(100.0, Input::Cancel { job: RequestId(2), cause: 0 }, &mut Vec::new());
     list(&mut core, ListKind::Changes, vec![notice(7, 0, Standing::Ready, 0)]);
     assert_eq!(core.standing_at(MachineId(7)), 1);
-    assert_eq!(core.one_at(MachineId(7)), Some(RequestId(1)));
+    assert_eq!(core.any_task_at(MachineId(7)), Some(RequestId(1)));
     assert!(core.nodes.unlisted.is_empty(), "no entry stays for a listed machine");
 }
 
--- a/src/state/machines.rs
+++ b/src/state/machines.rs
@@ -1,7 +1,7 @@
 //! The machines: updates of the machine list, and the consequences of a lost machine.
 
 use super::*;
-use crate::decide::silence::LOST_S;
+use crate::decide::silence::LOST_AFTER_S;
 
 /// Seconds. Time for which a draining machine that refuses connections is assumed to keep its running tasks.
 /// An end that no message reports must reach the owner within 8 s.
@@ -29,7 +29,7 @@
         &mut self,
         now: Seconds,
         kind: ListKind,
-        mut notices: Vec<Notice>,
+        mut notices: Vec<MachineNotice>,
         effects: &mut Vec<Effect>,
     ) {
         if matches!(kind, ListKind::Whole | ListKind::Persisted) {
@@ -72,7 +72,7 @@
 
     /// If two machines have the same address, the one that started later owns it. The other counts as gone,
     /// although the list does not say so yet: messages for it would reach its successor.
-    pub(super) fn resolve_address_conflicts(&self, notices: &mut Vec<Notice>) {
+    pub(super) fn resolve_address_conflicts(&self, notices: &mut Vec<MachineNotice>) {
         let mut replaced = Vec::new();
         for notice in notices.iter_mut().filter(|n| n.entry.standing != Standing::Gone) {
             let Some(other) = self.nodes.other_at(&notice.address, notice.entry.machine) else { continue };
@@ -100,7 +100,7 @@
     /// former name.
     pub(super) fn update_machine(
         &mut self,
-        notice: &Notice,
+        notice: &MachineNotice,
         effects: &mut Vec<Effect>,
     ) -> Option<(MachineId, Seconds)> {
         let (entry, id) = (notice.entry, notice.entry.machine);
@@ -160,7 +160,7 @@
     ) {
         let drains = self.nodes.get_mut(machine).filter(|n| n.entry().standing == Standing::Draining);
         let since = drains.map(|node| *node.refuses_since.get_or_insert(now));
-        if since.is_some_and(|since| now < since + DRAINING_KEEP_S) && quiet_s < LOST_S {
+        if since.is_some_and(|since| now < since + DRAINING_KEEP_S) && quiet_s < LOST_AFTER_S {
             return self.end_attempts(now, machine, false, Reason::Unknown, effects);
         }
         self.machine_lost(now, machine, true, effects);
@@ -229,6 +229,9 @@
 }
 
 /// The list update that marks a machine as gone.
-fn gone(node: &Node) -> Notice {
-    Notice { entry: Entry { standing: Standing::Gone, ..node.entry() }, address: node.address().to_string() }
+fn gone(node: &Node) -> MachineNotice {
+    MachineNotice {
+        entry: Entry { standing: Standing::Gone, ..node.entry() },
+        address: node.address().to_string(),
+    }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -28,7 +28,8 @@
 pub use groups::{GroupView, MemberView};
 pub use history::{Change, ChangeKind, History, Resume};
 pub use interface::{
-    Ask, Effect, GroupAsk, GroupId, Input, Keep, LinkLoad, Notice, Owner, Phase, Refusal, Spec,
+    CoreBounds, Effect, GroupId, GroupSubmission, Input, JobSubmission, LinkLoad, MachineNotice, Owner,
+    Phase, Refusal, Spec,
 };
 use jobs::{FinalAnswer, Job, OpenAttempt};
 use limits::ActiveLimits;
@@ -36,8 +37,8 @@
 use possible_copies::PossibleCopies;
 pub use views::{JobView, MachineView, Object};
 
-use crate::decide::limits::{Front, Limits, Resolved, Subject, Table, Ticket, Turned};
-use crate::placer::Effect as Effect_;
+use crate::decide::limits::{Front, Limits, Rejection, Resolved, Subject, Table, Ticket};
+use crate::placer::Idempotency;
 use crate::placer::Placer;
 use crate::placer::*;
 use crate::vocabulary::Vocabulary;
@@ -75,7 +76,7 @@
     open_rest: usize,
     /// The number of the last connection check; each check has a new number.
     last_fence: u64,
-    keep: Keep,
+    keep: CoreBounds,
     history: History,
     limits: ActiveLimits,
     groups: Groups,
@@ -94,7 +95,7 @@
         settings: Settings,
         vocabulary: Vocabulary,
         seed: u64,
-        keep: Keep,
+        keep: CoreBounds,
     ) -> Result<Self, SettingsError> {
         let placer = Placer::new(settings.clone(), seed)?;
         let limits = ActiveLimits::new(Limits::new(&settings, vocabulary.classes().to_vec()));
@@ -124,7 +125,7 @@
     }
 
     /// The vocabulary that maps names of machines, zones and classes to ids.
-    pub fn words(&mut self) -> &mut Vocabulary {
+    pub fn vocabulary(&mut self) -> &mut Vocabulary {
         &mut self.vocabulary
     }
 
@@ -139,12 +140,12 @@
     }
 
     /// Whether an attempt that was sent to the machine is still open.
-    pub fn is_open_at(&self, machine: MachineId) -> bool {
+    pub fn has_open_attempt_at(&self, machine: MachineId) -> bool {
         !self.open_attempts_at(machine, |t| t.sent).is_empty()
     }
 
     /// The first of the tasks that run at a machine.
-    pub fn one_at(&self, machine: MachineId) -> Option<RequestId> {
+    pub fn any_task_at(&self, machine: MachineId) -> Option<RequestId> {
         self.nodes.get(machine).and_then(|n| n.running.first().copied())
     }
 
@@ -164,7 +165,7 @@
     }
 
     /// The numbers of pending jobs and running tasks of a client connection.
-    pub fn owed(&self, link: u64) -> LinkLoad {
+    pub fn link_load(&self, link: u64) -> LinkLoad {
         self.links
             .get(&link)
             .map_or(LinkLoad::default(), |of| LinkLoad { open: of.open, standing: of.jobs.len() - of.open })
@@ -197,8 +198,8 @@
     }
 
     /// Count. Machines that the placer has examined in all its decisions so far.
-    pub fn looked_at(&self) -> u64 {
-        self.placer.looked_at
+    pub fn machines_examined(&self) -> u64 {
+        self.placer.machines_examined
     }
 
     /// Number of REST jobs that are pending or running.
@@ -253,7 +254,7 @@
                     self.end_running_task(now, job, after, why, report, effects);
                 }
             }
-            Input::Heard { machine, ask } => self.fence_answered(now, machine, ask, effects),
+            Input::FenceAnswered { machine, ask } => self.fence_answered(now, machine, ask, effects),
             Input::Noted { machine, job, note } => {
                 let Some(known) = self.jobs.get(&job) else { return };
                 let here = known.machine == Some(machine)
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -35,7 +35,7 @@
         "permissions": {"max_attempts": 4}, "report": {"source": "silent"},
         "rules": {"ask_every_s": 10.0, "fall_s": 2.0, "warm_within_s": 16.0}, "tick_s": 0.002, "zone": "z"});
     let (settings, words) = vocabulary::settings(&boot).expect("settings");
-    let keep = Keep { waiting_bytes: 1 << 20, standing: 3, history: 100, over: 10, over_s: 100.0 };
+    let keep = CoreBounds { waiting_bytes: 1 << 20, standing: 3, history: 100, over: 10, over_s: 100.0 };
     Core::new(settings, words, 7, keep).expect("a core")
 }
 
@@ -51,7 +51,7 @@
             let (machine, key) = (MachineId(n), MachineKey(u64::from(n)));
             let (zone, cell, free) = (ZoneId(0), CellId(0), Room { cores: 9.0, memory: 18.0 });
             let entry = Entry { machine, key, zone, cell, kind: Some(0), standing, free, started: 0.0 };
-            Notice { entry, address: format!("a:{}", n % 10) }
+            MachineNotice { entry, address: format!("a:{}", n % 10) }
         };
         self.apply_input(Input::List {
             kind: ListKind::Changes,
@@ -79,12 +79,17 @@
             service: ServiceId(1),
             room: Room { cores: 1.0, memory: 1.0 },
             deadline: self.now + 5.0,
-            life_s: None,
+            expected_runtime_s: None,
             limits: TaskLimits::default(),
         };
         let spec = Spec { class: "c".into(), key: key.map(str::to_string), ..Spec::default() };
         let owner = if key.is_some() { Owner::Rest } else { Owner::Link(1) };
-        self.apply_input(Input::Submit(Ask { job: RequestId(job), owner, spec: Arc::new(spec), task }))
+        self.apply_input(Input::Submit(JobSubmission {
+            job: RequestId(job),
+            owner,
+            spec: Arc::new(spec),
+            task,
+        }))
     }
 
     fn sent(&mut self, job: u64, attempt: AttemptNo) {
@@ -215,8 +220,12 @@
         bench.apply_input(Input::Sent { job: RequestId(1), attempt: 0 });
         let spec = Arc::new(Spec { class: "c".into(), ..Spec::default() });
         let task = bench.core.job(RequestId(1)).expect("a job").task;
-        let twice =
-            bench.apply_input(Input::Submit(Ask { job: RequestId(1), owner: Owner::Link(link), spec, task }));
+        let twice = bench.apply_input(Input::Submit(JobSubmission {
+            job: RequestId(1),
+            owner: Owner::Link(link),
+            spec,
+            task,
+        }));
         assert!(twice.contains(&Effect::Expel { link }));
         let first_ended = link == 1;
         assert_eq!(twice.contains(&Effect::Failed { owner: Owner::Link(1), job: RequestId(1) }), first_ended);
@@ -236,11 +245,11 @@
             service: ServiceId(1),
             room: Room { cores: 1.0, memory: 1.0 },
             deadline: bench.now,
-            life_s: None,
+            expected_runtime_s: None,
             limits: TaskLimits::default(),
         };
         let spec = Arc::new(Spec { class: "c".into(), ..Spec::default() });
-        let ask = Ask { job: RequestId(job), owner: Owner::Link(1), spec, task };
+        let ask = JobSubmission { job: RequestId(job), owner: Owner::Link(1), spec, task };
         bench.apply_input(Input::Adopt { ask, machine: MachineId(machine) })
     };
     let lost = |job| Effect::Released { owner: Owner::Link(1), job: RequestId(job), outcome: Outcome::Lost };
@@ -249,7 +258,7 @@
     adopt(&mut bench, 3, 1);
     assert_eq!(adopt(&mut bench, 4, 1), [lost(4)]);
     assert_eq!(bench.tick_at(103.0), [lost(2)]);
-    assert_eq!(bench.core.owed(1), LinkLoad { open: 0, standing: 2 });
+    assert_eq!(bench.core.link_load(1), LinkLoad { open: 0, standing: 2 });
 }
 
 /// Guards clients against a single connection that submits too many jobs, and memory against all connections
@@ -265,7 +274,7 @@
     let more = (first..).find(|&job| busy(&bench.submit(job, Some("k")))).expect("a refusal");
     assert_eq!(more, (1 << 20) / JOB_BYTES as u64 + 1);
     bench.apply_input(Input::OwnerGone { link: 1 });
-    assert_eq!((bench.core.owed(1), bench.core.is_full()), (LinkLoad::default(), false));
+    assert_eq!((bench.core.link_load(1), bench.core.is_full()), (LinkLoad::default(), false));
 }
 
 /// Guards a new machine at a former machine's address: nothing more is sent to the former one, and its
@@ -288,12 +297,12 @@
 fn names_of_former_machines_are_removed() {
     let mut bench = Bench::new("repeatable");
     for n in 0..1000 {
-        let machine = bench.core.words().machine(&format!("machine-{n}"));
+        let machine = bench.core.vocabulary().machine(&format!("machine-{n}"));
         bench.list(&[(machine.0, Standing::Ready)]);
         bench.list(&[(machine.0, Standing::Gone)]);
     }
-    assert!(bench.core.words().machines() < 100);
-    assert_eq!(bench.core.words().machine("machine-1000"), MachineId(1000));
+    assert!(bench.core.vocabulary().machines() < 100);
+    assert_eq!(bench.core.vocabulary().machine("machine-1000"), MachineId(1000));
 }
 
 /// Guards the running tasks of a draining machine: it refuses new connections, such as that of a planner that
@@ -338,14 +347,17 @@
             "the first attempt may still be open"
         );
         let ask = timed_out.iter().find_map(|e| match e {
-            Effect::Ask { machine, ask } if *machine == at => Some(*ask),
+            Effect::SendFence { machine, ask } if *machine == at => Some(*ask),
             _ => None,
         });
         let ask = ask.expect("a connection check is sent to the machine");
-        assert_eq!(launched(&bench.apply_input(Input::Heard { machine: MachineId(1 - at.0), ask })), None);
+        assert_eq!(
+            launched(&bench.apply_input(Input::FenceAnswered { machine: MachineId(1 - at.0), ask })),
+            None
+        );
         assert!(bench.bound(at, 1).is_empty(), "an answer that crossed the cancellation is dropped");
         if hears {
-            assert!(launched(&bench.apply_input(Input::Heard { machine: at, ask })).is_some());
+            assert!(launched(&bench.apply_input(Input::FenceAnswered { machine: at, ask })).is_some());
             continue;
         }
         let effects: Vec<Effect> =
@@ -384,9 +396,9 @@
     let early =
         [bench.end(at, 1, Outcome::Full), bench.bound(at, 1), bench.end(at, 1, Outcome::Error)].concat();
     assert!(early.is_empty(), "messages before the check's answer belong to the first attempt: {early:?}");
-    bench.apply_input(Input::Heard { machine: MachineId(1 - at.0), ask: fence });
+    bench.apply_input(Input::FenceAnswered { machine: MachineId(1 - at.0), ask: fence });
     assert!(bench.bound(at, 1).is_empty(), "another machine's answer proves nothing");
-    bench.apply_input(Input::Heard { machine: at, ask: fence });
+    bench.apply_input(Input::FenceAnswered { machine: at, ask: fence });
     assert_eq!(answers(&bench.bound(at, 1)), 1);
 }
 
@@ -454,7 +466,7 @@
                 (MachineId(n), MachineKey(n.into()), Room { cores: 9.0, memory: 18.0 });
             let (zone, cell, standing) = (ZoneId(zone), CellId(cell), Standing::Ready);
             let entry = Entry { machine, key, zone, cell, kind: Some(0), standing, free, started: 0.0 };
-            Notice { entry, address: format!("a:{n}") }
+            MachineNotice { entry, address: format!("a:{n}") }
         };
         let add = |bench: &mut Bench, of: &[(u32, u32, u64)]| {
             let notices = of.iter().map(notice).collect();
@@ -523,7 +535,7 @@
         let (zone, cell, free) = (ZoneId(0), CellId(0), Room { cores: 9.0, memory: 18.0 });
         let standing = Standing::Ready;
         let entry = Entry { machine, key, zone, cell, kind: Some(0), standing, free, started };
-        let notices = vec![Notice { entry, address: format!("a:{n}") }];
+        let notices = vec![MachineNotice { entry, address: format!("a:{n}") }];
         self.apply_input(Input::List { kind: ListKind::Changes, notices })
     }
 }
--- a/src/state/views.rs
+++ b/src/state/views.rs
@@ -14,7 +14,7 @@
     pub deadline: Seconds,
     pub last: Option<(Outcome, Reason)>,
     /// The operators' limit that refused a further attempt.
-    pub turned: Option<Turned>,
+    pub turned: Option<Rejection>,
     pub retry_in_s: Seconds,
     pub version: u64,
 }
--- a/src/vocabulary.rs
+++ b/src/vocabulary.rs
@@ -266,8 +266,8 @@
         reports_used: family.free_by == "used",
         probes: boot.permissions.probes,
         max_attempts: boot.permissions.max_attempts,
-        cold_bears: family.cold_bears,
-        fall_s: boot.rules.fall_s,
+        cold_offer_limit: family.cold_bears,
+        cold_window_s: boot.rules.fall_s,
         warm_within_s: boot.rules.warm_within_s,
         tick_s: boot.tick_s,
         over_share_worth: boot.over_share_worth,
@@ -278,10 +278,10 @@
 
 fn class_settings(at: usize, grade: &Grade, family: &Family) -> Result<Class, String> {
     Ok(Class {
-        effect: match grade.idempotency.as_str() {
-            "repeatable" => Effect::Repeatable,
-            "once" => Effect::Once,
-            "by_key" => Effect::Keyed {
+        idempotency: match grade.idempotency.as_str() {
+            "repeatable" => Idempotency::Repeatable,
+            "once" => Idempotency::Once,
+            "by_key" => Idempotency::Keyed {
                 group: parse_place(&grade.group)?.unwrap_or(Place::All),
                 window_s: grade.repeat_window_s,
             },
--- a/src/wire/hub.rs
+++ b/src/wire/hub.rs
@@ -22,12 +22,12 @@
 use super::platform::owner;
 use super::read_buffers::ReadBuffers;
 use super::trail;
-use crate::decide::budgets::Word;
+use crate::decide::budgets::PeerMessage;
 use crate::decide::fleet::Member;
-use crate::decide::links::Places;
-use crate::decide::start_times::{Heard, StartTimes};
+use crate::decide::links::ConnectionSlots;
+use crate::decide::start_times::{NoticeContext, StartTimes};
 use crate::placer::*;
-use crate::state::{Core, Effect, Input, Notice, Owner, Refusal};
+use crate::state::{Core, Effect, Input, MachineNotice, Owner, Refusal};
 use client_connections::Orphan;
 use clock::Clock;
 use held::HeldSetUps;
@@ -45,7 +45,7 @@
     /// Bytes. Most that may be queued for one owner.
     pub owner_queue: usize,
     /// Bytes. Most that may be queued for one machine.
-    pub box_queue: usize,
+    pub machine_queue: usize,
     /// Count. Connections to machines.
     pub links: usize,
 }
@@ -64,7 +64,7 @@
     effects: Vec<Effect>,
     pub bounds: Bounds,
     /// The limited places for connections to machines.
-    pub places: Places,
+    pub places: ConnectionSlots,
     /// When machines started.
     start_times: StartTimes,
     /// Whether the wall clock has stepped since the program started.
@@ -85,7 +85,7 @@
     /// retry. The API takes the value while it still holds the lock under which it submitted the job.
     pub turned_away: Option<(Refusal, Seconds)>,
     /// The queue of messages to other planners; none where the planner is in no fleet.
-    pub peers: Option<mpsc::Sender<(Member, Vec<Word>)>>,
+    pub peers: Option<mpsc::Sender<(Member, Vec<PeerMessage>)>>,
     /// Datagrams exchanged with other planners.
     pub peer_counts: DatagramCounts,
     /// Rare events of attempts and their connections.
@@ -125,7 +125,7 @@
             orphans: VecDeque::new(),
             effects: Vec::new(),
             bounds,
-            places: Places::new(bounds.links),
+            places: ConnectionSlots::new(bounds.links),
             start_times,
             has_stepped: false,
             connect_requests,
@@ -206,13 +206,19 @@
     }
 
     /// Applies entries of the machine list; `is_live` where they describe changes that have just happened.
-    pub fn apply_list(&self, inner: &mut Inner, kind: ListKind, mut notices: Vec<Notice>, is_live: bool) {
+    pub fn apply_list(
+        &self,
+        inner: &mut Inner,
+        kind: ListKind,
+        mut notices: Vec<MachineNotice>,
+        is_live: bool,
+    ) {
         if !inner.has_stepped && self.clock.has_stepped() {
             inner.has_stepped = true;
             tracing::warn!("wall clock stepped: machines now count as started when they are reported");
         }
-        let heard = Heard { now: self.now(), is_live, has_stepped: inner.has_stepped };
-        for Notice { entry, .. } in &mut notices {
+        let heard = NoticeContext { now: self.now(), is_live, has_stepped: inner.has_stepped };
+        for MachineNotice { entry, .. } in &mut notices {
             entry.started = inner.start_times.take(entry.machine, entry.started, heard);
             if entry.standing == Standing::Gone {
                 inner.start_times.forget(entry.machine);
@@ -251,7 +257,7 @@
     }
 
     /// Runs the core's alarms for as long as the program runs.
-    pub async fn keep_time(self: Arc<Self>) {
+    pub async fn run_alarms(self: Arc<Self>) {
         loop {
             let next = self.lock().core.next_alarm();
             let wait = next.map(|at| to_duration(at - self.now()));
@@ -295,8 +301,8 @@
                 let line = node::check(link.probes);
                 self.write_to_machine(machine, line, Tag::Plain);
             }
-            Effect::Ask { machine, ask } => {
-                self.write_to_machine(machine, node::check(node::PROOF | ask), Tag::Plain);
+            Effect::SendFence { machine, ask } => {
+                self.write_to_machine(machine, node::check(node::FENCE_FLAG | ask), Tag::Plain);
             }
             Effect::Connect { machine, address } => self.connect(machine, address),
             Effect::Watch { machine } => self.reschedule_check(machine),
@@ -334,7 +340,7 @@
                     link.wake.notify_one();
                 }
             }
-            Effect::Say { to, words } => {
+            Effect::SendToPeer { to, words } => {
                 if let Some(peers) = &self.peers {
                     // Messages beyond the capacity of the queue are dropped, as the network may drop them.
                     let _ = peers.try_send((to, words));
@@ -350,7 +356,7 @@
     /// Sets new limits; connections beyond them stay until their places are needed.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
-        self.places.set_most(bounds.links);
+        self.places.set_capacity(bounds.links);
     }
 
     /// Whether no job waits for its answer, and no owner has unwritten answers, unread bytes or an incomplete
--- a/src/wire/hub/client_connections.rs
+++ b/src/wire/hub/client_connections.rs
@@ -181,10 +181,10 @@
     /// running tasks, and among equals the least recently used. Returns `None` where none can be closed.
     pub fn make_room(&mut self) -> Option<()> {
         let use_of = |(&id, link): (&u64, &OwnerLink)| {
-            let owed = self.core.owed(id);
-            let free = owed.open == 0 && link.outbox.is_empty();
+            let link_load = self.core.link_load(id);
+            let free = link_load.open == 0 && link.outbox.is_empty();
             free.then_some((
-                (link.closing.is_none(), owed.standing > 0, link.ever_answered, micros(link.used)),
+                (link.closing.is_none(), link_load.standing > 0, link.ever_answered, micros(link.used)),
                 id,
             ))
         };
@@ -213,18 +213,19 @@
     /// Why a connection can be closed, if it can.
     pub fn close_reason(&self, now: Seconds, id: u64) -> Option<&'static str> {
         let link = self.owners.get(&id)?;
-        let owed = self.core.owed(id);
+        let link_load = self.core.link_load(id);
         if !link.outbox.is_empty() {
             return (now - link.used > READ_TIMEOUT_S).then_some("the owner does not read its answers");
         }
-        if owed.open > 0 {
+        if link_load.open > 0 {
             return None;
         }
         if link.expelled {
             return Some("the owner used a job id twice");
         }
-        let silent = !link.ever_answered && owed.standing == 0 && now - link.opened > UNANSWERED_TIMEOUT_S;
-        let idle = owed.standing == 0 && now - link.used > IDLE_TIMEOUT_S;
+        let silent =
+            !link.ever_answered && link_load.standing == 0 && now - link.opened > UNANSWERED_TIMEOUT_S;
+        let idle = link_load.standing == 0 && now - link.used > IDLE_TIMEOUT_S;
         silent.then_some("no request within the time limit").or(idle.then_some("idle"))
     }
 
--- a/src/wire/hub/datagrams.rs
+++ b/src/wire/hub/datagrams.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
     /// Datagrams received, and their bytes.
-    pub heard: (u64, u64),
+    pub received: (u64, u64),
     /// Datagrams sent, and their bytes.
     pub sent: (u64, u64),
     /// Dropped: from an address that is not in the member list, or not that of the planner that they name.
--- a/src/wire/hub/machine_connections.rs
+++ b/src/wire/hub/machine_connections.rs
@@ -3,7 +3,7 @@
 
 use super::Inner;
 use crate::decide::links::Need;
-use crate::decide::silence::looks::Open;
+use crate::decide::silence::checks::Open;
 use crate::placer::{MachineId, Seconds};
 use crate::state::{Core, DepartureId};
 use crate::wire::outbox::{Outbox, Sink, Tag};
@@ -39,7 +39,7 @@
 /// Whether nothing is queued or open on the connection to a machine, probes included.
 fn is_idle(machine_links: &BTreeMap<MachineId, MachineLink>, core: &Core, machine: MachineId) -> bool {
     let free = machine_links.get(&machine).is_some_and(|l| l.outbox.is_empty() && l.probe.is_none());
-    free && !core.is_open_at(machine)
+    free && !core.has_open_attempt_at(machine)
 }
 
 impl Inner {
@@ -54,7 +54,7 @@
         let link = MachineLink {
             link_id,
             address,
-            outbox: Outbox::new(self.bounds.box_queue),
+            outbox: Outbox::new(self.bounds.machine_queue),
             wake: Arc::new(Notify::new()),
             check_wake: Arc::new(Notify::new()),
             probe: None,
@@ -121,10 +121,10 @@
     }
 
     /// The state of a connection that its periodic check depends on.
-    pub fn open_on(&self, machine: MachineId, half_line_since: Option<Seconds>) -> Open {
+    pub fn open_on(&self, machine: MachineId, partial_line_since: Option<Seconds>) -> Open {
         Open {
-            test_since: self.machine_links.get(&machine).and_then(|l| l.probe),
-            half_line_since,
+            probe_since: self.machine_links.get(&machine).and_then(|l| l.probe),
+            partial_line_since,
             holds_tasks: self.core.standing_at(machine) > 0,
             is_short: self.places.is_short(),
         }
@@ -144,7 +144,7 @@
     /// Whether the connection to a machine is to give back its place now. Where something has been opened on
     /// it in the meantime, it keeps the place and another connection is asked.
     pub fn must_give_back(&mut self, now: Seconds, machine: MachineId) -> bool {
-        if !self.places.is_asked(machine) {
+        if !self.places.is_reclaimed(machine) {
             return false;
         }
         if is_idle(&self.machine_links, &self.core, machine) {
@@ -175,14 +175,14 @@
 
     /// Whether closing the connection to a machine would lose something: an attempt is open on it, or a
     /// message is not completely written.
-    pub fn is_open_at(&self, machine: MachineId) -> bool {
+    pub fn has_open_attempt_at(&self, machine: MachineId) -> bool {
         self.machine_links.get(&machine).is_some_and(|l| !l.outbox.is_empty())
-            || self.core.is_open_at(machine)
+            || self.core.has_open_attempt_at(machine)
     }
 
     /// Writes a message that the machine ignores: where its process is gone, the host answers with a reset.
     pub fn nudge_machine(&mut self, machine: MachineId) {
-        if let Some(job) = self.core.one_at(machine) {
+        if let Some(job) = self.core.any_task_at(machine) {
             self.write_to_machine(machine, node::progress(job), Tag::Plain);
         }
     }
--- a/src/wire/hub/machine_connections/tests.rs
+++ b/src/wire/hub/machine_connections/tests.rs
@@ -4,35 +4,35 @@
 use super::*;
 use crate::placer::*;
 use crate::state::tests::core;
-use crate::state::{Ask, Effect, Input, Notice, Owner, Spec};
+use crate::state::{Effect, Input, JobSubmission, MachineNotice, Owner, Spec};
 use crate::wire::hub::{Bounds, Hub};
 use std::sync::Arc;
 
 /// A hub with so many listed machines, and so many places for their connections.
 fn hub(machines: u32, places: usize) -> Arc<Hub> {
-    let bounds = Bounds { owners: 9, owner_queue: 4096, box_queue: 4096, links: places };
+    let bounds = Bounds { owners: 9, owner_queue: 4096, machine_queue: 4096, links: places };
     let (hub, _wanted) = Hub::new(core("repeatable"), bounds, Arc::default());
     let notice = |n: u32| {
         let (machine, key) = (MachineId(n), MachineKey(u64::from(n)));
         let (zone, cell, free) = (ZoneId(0), CellId(0), Room { cores: 9.0, memory: 18.0 });
         let (kind, standing) = (Some(0), Standing::Ready);
         let entry = Entry { machine, key, zone, cell, kind, standing, free, started: 0.0 };
-        Notice { entry, address: format!("a:{n}") }
+        MachineNotice { entry, address: format!("a:{n}") }
     };
     for n in 0..machines {
-        assert_eq!(hub.lock().core.words().machine(&format!("m-{n}")), MachineId(n));
+        assert_eq!(hub.lock().core.vocabulary().machine(&format!("m-{n}")), MachineId(n));
     }
     hub.apply(Input::List { kind: ListKind::Changes, notices: (0..machines).map(notice).collect() });
     hub
 }
 
 /// A job of the class in the tests' settings.
-fn ask(hub: &Hub, job: u64) -> Ask {
+fn ask(hub: &Hub, job: u64) -> JobSubmission {
     let room = Room { cores: 1.0, memory: 1.0 };
     let (service, deadline, limits) = (ServiceId(1), hub.now() + 5.0, TaskLimits::default());
-    let task = Task { class: 0, tenant: None, service, room, deadline, life_s: None, limits };
+    let task = Task { class: 0, tenant: None, service, room, deadline, expected_runtime_s: None, limits };
     let spec = Arc::new(Spec { class: "c".into(), body: "x".into(), ..Spec::default() });
-    Ask { job: RequestId(job), owner: Owner::Link(1), spec, task }
+    JobSubmission { job: RequestId(job), owner: Owner::Link(1), spec, task }
 }
 
 /// Whether a task is notified; this takes the notification.
@@ -69,7 +69,7 @@
 async fn a_health_check_wakes_its_connection() {
     let (hub, now) = (hub(2, 2), 100.0);
     hub.lock().carry_out(now, Effect::Probe { machine: MachineId(0) });
-    assert_eq!(hub.lock().open_on(MachineId(0), None), Open { test_since: Some(now), ..Open::default() });
+    assert_eq!(hub.lock().open_on(MachineId(0), None), Open { probe_since: Some(now), ..Open::default() });
     assert_eq!((wakes(&hub, MachineId(0)).await, wakes(&hub, MachineId(1)).await), (TO_WRITE, NOTHING));
 }
 
--- a/src/wire/hub/tests.rs
+++ b/src/wire/hub/tests.rs
@@ -1,11 +1,15 @@
 use super::*;
 use crate::state::tests::core;
-use crate::state::{Ask, Notice, Spec};
+use crate::state::{JobSubmission, MachineNotice, Spec};
 use std::time::Duration;
 
 fn hub(owners: usize) -> Arc<Hub> {
-    Hub::new(core("repeatable"), Bounds { owners, owner_queue: 64, box_queue: 64, links: 9 }, Arc::default())
-        .0
+    Hub::new(
+        core("repeatable"),
+        Bounds { owners, owner_queue: 64, machine_queue: 64, links: 9 },
+        Arc::default(),
+    )
+    .0
 }
 
 fn open_owner_connection(inner: &mut Inner, now: Seconds) -> Option<u64> {
@@ -29,10 +33,10 @@
 fn hub_with_queued_job(effect: &str, deadline_in_s: Seconds) -> (Arc<Hub>, MachineId, u64) {
     let (hub, _wanted) = Hub::new(
         core(effect),
-        Bounds { owners: 9, owner_queue: 4096, box_queue: 4096, links: 9 },
+        Bounds { owners: 9, owner_queue: 4096, machine_queue: 4096, links: 9 },
         Arc::default(),
     );
-    let name = hub.lock().core.words().machine("b");
+    let name = hub.lock().core.vocabulary().machine("b");
     let entry = Entry {
         machine: name,
         key: MachineKey(1),
@@ -43,15 +47,15 @@
         free: Room { cores: 9.0, memory: 18.0 },
         started: 0.0,
     };
-    let notice = Notice { entry, address: "a:1".into() };
+    let notice = MachineNotice { entry, address: "a:1".into() };
     hub.apply(Input::List { kind: ListKind::Changes, notices: vec![notice] });
     let owner = open_owner_connection(&mut hub.lock(), 100.0).expect("a place");
     let room = Room { cores: 1.0, memory: 1.0 };
     let (class, service, deadline) = (0, ServiceId(1), hub.now() + deadline_in_s);
     let limits = TaskLimits::default();
-    let task = Task { class, tenant: None, service, room, deadline, life_s: None, limits };
+    let task = Task { class, tenant: None, service, room, deadline, expected_runtime_s: None, limits };
     let spec = Arc::new(Spec { class: "c".into(), body: "x".into(), ..Spec::default() });
-    hub.apply(Input::Submit(Ask { job: RequestId(1), owner: Owner::Link(owner), spec, task }));
+    hub.apply(Input::Submit(JobSubmission { job: RequestId(1), owner: Owner::Link(owner), spec, task }));
     (hub, name, owner)
 }
 
--- a/src/wire/peers/mod.rs
+++ b/src/wire/peers/mod.rs
@@ -4,9 +4,9 @@
 pub mod words;
 
 use super::hub::{DatagramCounts, Hub};
-use crate::decide::budgets::Word;
+use crate::decide::budgets::PeerMessage;
 use crate::decide::fleet::settings::FleetSettings;
-use crate::decide::fleet::{Life, Member};
+use crate::decide::fleet::{Incarnation, Member};
 use crate::state::Input;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,8 +24,8 @@
 pub async fn serve(
     hub: Arc<Hub>,
     socket: UdpSocket,
-    (settings, life): (FleetSettings, Life),
-    mut queue: Receiver<(Member, Vec<Word>)>,
+    (settings, life): (FleetSettings, Incarnation),
+    mut queue: Receiver<(Member, Vec<PeerMessage>)>,
 ) {
     let digest = settings.digest();
     let me = settings.plan.place.0;
@@ -65,8 +65,8 @@
 
 fn take_in(hub: &Hub, digest: u64, bytes: &[u8], from: Option<Member>) {
     let mut inner = hub.lock();
-    inner.peer_counts.heard.0 += 1;
-    inner.peer_counts.heard.1 += bytes.len() as u64;
+    inner.peer_counts.received.0 += 1;
+    inner.peer_counts.received.1 += bytes.len() as u64;
     match words::read(digest, bytes) {
         Ok(letter) if from == Some(letter.from) => {
             hub.apply_in(&mut inner, Input::Peer { from: (letter.from, letter.life), words: letter.words });
--- a/src/wire/peers/words.rs
+++ b/src/wire/peers/words.rs
@@ -4,8 +4,8 @@
 //! all that follows it; its key comes from the fleet's name, list and terms, so that a datagram of another fleet, of another
 //! list, or one that was spoilt, is told from a good one. It keeps mistakes apart, and nobody out.
 
-use crate::decide::budgets::{Ask, Grant, Word};
-use crate::decide::fleet::{Claim, Life, Member, Vote};
+use crate::decide::budgets::{Ask, Grant, PeerMessage};
+use crate::decide::fleet::{Claim, Incarnation, Member, Vote};
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
 use thiserror::Error;
@@ -57,8 +57,8 @@
 #[derive(Debug, PartialEq)]
 pub struct Letter {
     pub from: Member,
-    pub life: Life,
-    pub words: Vec<Word>,
+    pub life: Incarnation,
+    pub words: Vec<PeerMessage>,
 }
 
 fn check(digest: u64, rest: &[u8]) -> u64 {
@@ -72,15 +72,15 @@
     u32::try_from(figure).unwrap_or(u32::MAX).to_be_bytes()
 }
 
-fn put(bytes: &mut Vec<u8>, word: &Word) {
+fn put(bytes: &mut Vec<u8>, word: &PeerMessage) {
     match word {
-        Word::Claim(claim) => {
+        PeerMessage::Claim(claim) => {
             bytes.push(kind::CLAIM);
             bytes.extend(claim.slot.to_be_bytes());
             bytes.extend(claim.number.to_be_bytes());
             bytes.push(u8::from(claim.keep));
         }
-        Word::Vote(vote) => {
+        PeerMessage::Vote(vote) => {
             let flags =
                 [(vote.given, flag::GIVEN), (vote.wanted, flag::WANTED), (vote.free.is_some(), flag::FREE)];
             bytes.push(kind::VOTE);
@@ -90,20 +90,20 @@
             bytes.push(flags.iter().filter(|(is, _)| *is).map(|(_, bit)| bit).sum());
             bytes.extend(vote.free.unwrap_or_default().to_be_bytes());
         }
-        Word::Ask(budget, ask) => {
+        PeerMessage::Ask(budget, ask) => {
             bytes.push(kind::ASK);
             bytes.extend(budget.to_be_bytes());
             bytes.extend(ask.number.to_be_bytes());
-            for figure in [ask.wants, ask.holds, ask.whole, ask.hold] {
+            for figure in [ask.wants, ask.holds, ask.total, ask.hold] {
                 bytes.extend(short(figure));
             }
         }
-        Word::Grant(budget, grant) => {
+        PeerMessage::Grant(budget, grant) => {
             bytes.push(kind::GRANT);
             bytes.extend(budget.to_be_bytes());
             bytes.extend(grant.life.to_be_bytes());
             bytes.extend(grant.number.to_be_bytes());
-            for figure in [grant.units, grant.span, grant.whole, grant.hold] {
+            for figure in [grant.units, grant.span, grant.total, grant.hold] {
                 bytes.extend(short(figure));
             }
         }
@@ -111,7 +111,7 @@
 }
 
 /// Words as datagrams, in their order, as many to each as fit.
-pub fn write(digest: u64, from: Member, life: Life, words: &[Word]) -> Vec<Vec<u8>> {
+pub fn write(digest: u64, from: Member, life: Incarnation, words: &[PeerMessage]) -> Vec<Vec<u8>> {
     let mut all = Vec::new();
     let mut body: Vec<u8> = Vec::new();
     let mut done = |body: &mut Vec<u8>| {
@@ -141,29 +141,36 @@
     be_u32.map(u64::from).parse_next(input)
 }
 
-fn claim(input: &mut &[u8]) -> Read<'static, Word> {
+fn claim(input: &mut &[u8]) -> Read<'static, PeerMessage> {
     let (slot, number, keep) = (be_u16, be_u64, be_u8).parse_next(input)?;
-    Ok(Word::Claim(Claim { slot, number, keep: keep == 1 }))
+    Ok(PeerMessage::Claim(Claim { slot, number, keep: keep == 1 }))
 }
 
-fn vote(input: &mut &[u8]) -> Read<'static, Word> {
+fn vote(input: &mut &[u8]) -> Read<'static, PeerMessage> {
     let (slot, life, number, flags, free) = (be_u16, be_u64, be_u64, be_u8, be_u16).parse_next(input)?;
     let (given, wanted) = (flags & flag::GIVEN > 0, flags & flag::WANTED > 0);
-    Ok(Word::Vote(Vote { slot, life, number, given, wanted, free: (flags & flag::FREE > 0).then_some(free) }))
+    Ok(PeerMessage::Vote(Vote {
+        slot,
+        life,
+        number,
+        given,
+        wanted,
+        free: (flags & flag::FREE > 0).then_some(free),
+    }))
 }
 
-fn ask(life: Life) -> impl FnMut(&mut &[u8]) -> Read<'static, Word> {
+fn ask(life: Incarnation) -> impl FnMut(&mut &[u8]) -> Read<'static, PeerMessage> {
     move |input: &mut &[u8]| {
         let (budget, number) = (be_u64, be_u32).parse_next(input)?;
-        let (wants, holds, whole, hold) = (wide, wide, wide, wide).parse_next(input)?;
-        Ok(Word::Ask(budget, Ask { life, number, wants, holds, whole, hold }))
+        let (wants, holds, total, hold) = (wide, wide, wide, wide).parse_next(input)?;
+        Ok(PeerMessage::Ask(budget, Ask { life, number, wants, holds, total, hold }))
     }
 }
 
-fn grant(input: &mut &[u8]) -> Read<'static, Word> {
+fn grant(input: &mut &[u8]) -> Read<'static, PeerMessage> {
     let (budget, life, number) = (be_u64, be_u64, be_u32).parse_next(input)?;
-    let (units, span, whole, hold) = (wide, wide, wide, wide).parse_next(input)?;
-    Ok(Word::Grant(budget, Grant { life, number, units, span, whole, hold }))
+    let (units, span, total, hold) = (wide, wide, wide, wide).parse_next(input)?;
+    Ok(PeerMessage::Grant(budget, Grant { life, number, units, span, total, hold }))
 }
 
 /// Reads a datagram.
@@ -184,14 +191,14 @@
     }
     let wrong = |_| Malformed::Words;
     let mut input = &bytes[9..];
-    let (from, life): (Member, Life) =
+    let (from, life): (Member, Incarnation) =
         (be_u16::<_, ErrMode<ContextError>>, be_u64).parse_next(&mut input).map_err(wrong)?;
     let word = dispatch! {be_u8;
         kind::CLAIM => claim,
         kind::VOTE => vote,
         kind::ASK => ask(life),
         kind::GRANT => grant,
-        _ => fail::<_, Word, _>,
+        _ => fail::<_, PeerMessage, _>,
     };
     let words =
         (repeat(0.., word), empty).map(|(words, ())| words).parse(input).map_err(|_| Malformed::Words)?;
--- a/src/wire/peers/words/tests.rs
+++ b/src/wire/peers/words/tests.rs
@@ -1,26 +1,31 @@
 use super::*;
 use rand::{Rng, SeedableRng};
 
-fn words() -> Vec<Word> {
+fn words() -> Vec<PeerMessage> {
     let (life, number) = (u64::MAX - 7, 9);
     let claim = Claim { slot: 1023, number, keep: true };
     let vote = Vote { slot: 3, life, number, given: true, wanted: false, free: Some(0) };
-    let ask = Ask { life: 5, number: 2, wants: 70, holds: 3, whole: 100, hold: 1_500_000 };
-    let grant = Grant { life, number: 2, units: 12, span: 2_900_000, whole: 100, hold: 0 };
-    vec![Word::Claim(claim), Word::Vote(vote), Word::Ask(77, ask), Word::Grant(78, grant)]
+    let ask = Ask { life: 5, number: 2, wants: 70, holds: 3, total: 100, hold: 1_500_000 };
+    let grant = Grant { life, number: 2, units: 12, span: 2_900_000, total: 100, hold: 0 };
+    vec![
+        PeerMessage::Claim(claim),
+        PeerMessage::Vote(vote),
+        PeerMessage::Ask(77, ask),
+        PeerMessage::Grant(78, grant),
+    ]
 }
 
 /// Guards words against their way: what is written is read, in datagrams that keep their bound.
 #[test]
 fn what_is_written_is_read() {
-    let many: Vec<Word> = (0..40).flat_map(|_| words()).collect();
+    let many: Vec<PeerMessage> = (0..40).flat_map(|_| words()).collect();
     let letters = write(1, 4, 5, &many);
     assert!(letters.len() > 8 && letters.iter().all(|l| l.len() <= MOST_BYTES));
     let read = letters.iter().flat_map(|l| read(1, l).expect("a letter").words);
     assert_eq!(read.collect::<Vec<_>>(), many);
-    let absurd = Ask { life: 5, number: 1, wants: u64::MAX, holds: 0, whole: 1, hold: 0 };
-    let letter = read_one(&write(1, 4, 5, &[Word::Ask(1, absurd)])[0]);
-    assert_eq!(letter.words, [Word::Ask(1, Ask { wants: u64::from(u32::MAX), ..absurd })]);
+    let absurd = Ask { life: 5, number: 1, wants: u64::MAX, holds: 0, total: 1, hold: 0 };
+    let letter = read_one(&write(1, 4, 5, &[PeerMessage::Ask(1, absurd)])[0]);
+    assert_eq!(letter.words, [PeerMessage::Ask(1, Ask { wants: u64::from(u32::MAX), ..absurd })]);
 }
 
 fn read_one(bytes: &[u8]) -> Letter {
--- a/src/wire/platform/board.rs
+++ b/src/wire/platform/board.rs
@@ -2,7 +2,7 @@
 //! machine list; pure functions on bytes.
 
 use crate::placer::*;
-use crate::state::Notice;
+use crate::state::MachineNotice;
 use crate::vocabulary::{key, Vocabulary};
 use serde::Deserialize;
 
@@ -52,7 +52,7 @@
 
 /// The events of the machine list that are stored in the configuration.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Known {
+pub struct KnownEvents {
     /// The last known revision.
     pub rev: u64,
     #[serde(default)]
@@ -85,14 +85,14 @@
 
 impl Event {
     /// The machines of the event, and whether they are a change or the whole list.
-    pub fn notices(&self, words: &mut Vocabulary) -> (ListKind, Vec<Notice>) {
+    pub fn notices(&self, words: &mut Vocabulary) -> (ListKind, Vec<MachineNotice>) {
         let kind = if self.pool.reset || self.rev == 1 { ListKind::Whole } else { ListKind::Changes };
         (kind, self.pool.instances.iter().map(|i| i.notice(words)).collect())
     }
 }
 
 impl Instance {
-    fn notice(&self, words: &mut Vocabulary) -> Notice {
+    fn notice(&self, words: &mut Vocabulary) -> MachineNotice {
         let free = |at: usize| self.free.get(at).copied().unwrap_or(0.0);
         let entry = Entry {
             machine: words.machine(&self.instance_id),
@@ -109,7 +109,7 @@
             free: Room { cores: free(0), memory: free(1) },
             started: self.started_at_ms / 1e3,
         };
-        Notice { entry, address: self.host_port.clone() }
+        MachineNotice { entry, address: self.host_port.clone() }
     }
 }
 
