--- a/src/wire/platform/boxes.rs
+++ b/src/wire/platform/machine_links.rs
@@ -6,10 +6,10 @@
 
 use self::dial::{dial, DialBeside, Dialled, PendingDial};
 use self::end::{half_close, End};
-use super::node::{self, take_line, MachineMessage, PROOF};
-use crate::decide::links::{Need, VISIT_S};
-use crate::decide::silence::looks::{Looks, LOOK_EVERY_S};
-use crate::decide::silence::{is_lost, Dial, Signs, Step, Watch};
+use super::node::{self, take_line, MachineMessage, FENCE_FLAG};
+use crate::decide::links::{Need, VISIT_AFTER_S};
+use crate::decide::silence::checks::{CheckSchedule, CHECK_INTERVAL_S};
+use crate::decide::silence::{is_lost, Dial, MachineActivity, Step, Watch};
 use crate::decide::spread::Draws;
 use crate::placer::*;
 use crate::state::Input;
@@ -43,7 +43,7 @@
 const FIRST_DIAL_SPREAD: Duration = Duration::from_millis(1000);
 
 /// Starts a connection task for each machine that the hub wants connected; `dial` limits the time of a dial.
-pub async fn hold_links(
+pub async fn run_machine_links(
     hub: Arc<Hub>,
     mut wanted: mpsc::UnboundedReceiver<(MachineId, u64)>,
     dial: Duration,
@@ -121,7 +121,8 @@
     async fn run(self) {
         let machine = self.machine;
         let mut draws = Draws::new(self.hub.seed(), self.link_id);
-        let (mut wait, mut signs, mut after_reset) = (RETRY_DELAYS.0, Signs::new(self.hub.now()), false);
+        let (mut wait, mut signs, mut after_reset) =
+            (RETRY_DELAYS.0, MachineActivity::new(self.hub.now()), false);
         let mut replacement = None;
         if let Some((_, wakes)) = self.address() {
             // A queued set-up wakes the task and ends this wait.
@@ -207,14 +208,14 @@
                     }
                 }
                 Dialled::Refused => {
-                    signs.silent_dials = 0;
+                    signs.failed_dials = 0;
                     self.record_unreachable(false);
                     // A reset followed by a refusal means that the process died. A refusal alone may be a
                     // process that drains and accepts no new connections.
                     self.send_input(if after_reset {
                         Input::MachineLost { machine, proved: true }
                     } else {
-                        let quiet_s = self.hub.now() - signs.told;
+                        let quiet_s = self.hub.now() - signs.last_task_report;
                         Input::DialRefused { machine, quiet_s }
                     });
                 }
@@ -227,10 +228,13 @@
                     self.hub.lock().make_room();
                 }
                 Dialled::Silent => {
-                    signs.silent_dials += 1;
+                    signs.failed_dials += 1;
                     self.send_input(Input::DialFailed { machine });
-                    if is_lost(signs.silent_dials, self.hub.now() - signs.sign, self.record_unreachable(true))
-                    {
+                    if is_lost(
+                        signs.failed_dials,
+                        self.hub.now() - signs.last_sign,
+                        self.record_unreachable(true),
+                    ) {
                         self.send_input(Input::MachineLost { machine, proved: false });
                     }
                 }
@@ -257,16 +261,16 @@
 
     /// Whether the connection has a place among the limited number of connections. If not, waits until there
     /// may be one: the task is woken once a place is free or something is to be written, and asks again after
-    /// [`VISIT_S`] otherwise, because a machine with running tasks has to be visited regularly.
+    /// [`VISIT_AFTER_S`] otherwise, because a machine with running tasks has to be visited regularly.
     async fn acquire_place(&self, wake: &Notify, draws: &mut Draws, given_back_at: Option<Seconds>) -> bool {
         let (wait, had) = {
             let mut inner = self.hub.lock();
             let (now, need) = (self.hub.now(), inner.need(self.machine));
-            let visit_in = given_back_at.map_or(0.0, |at| at + VISIT_S - now);
+            let visit_in = given_back_at.map_or(0.0, |at| at + VISIT_AFTER_S - now);
             if need == Need::Visit && visit_in > 0.0 && !inner.places.is_held(self.machine) {
                 (visit_in * (0.75 + 0.25 * draws.draw()), false)
             } else {
-                (VISIT_S, inner.want_place(now, self.machine, need))
+                (VISIT_AFTER_S, inner.want_place(now, self.machine, need))
             }
         };
         if !had {
@@ -284,12 +288,12 @@
         wakes: &WakeSignals,
         draws: &mut Draws,
         unprocessed: &mut Unprocessed,
-        signs: &mut Signs,
+        signs: &mut MachineActivity,
     ) -> io::Result<End> {
         let Unprocessed { buffer, beside } = unprocessed;
         let mut watch = Watch::new(self.hub.now());
-        let (mut sent, mut half_line_since) = (Vec::new(), None::<Seconds>);
-        let mut checks = Looks::new(self.hub.now() + LOOK_EVERY_S * draws.draw());
+        let (mut sent, mut partial_line_since) = (Vec::new(), None::<Seconds>);
+        let mut checks = CheckSchedule::new(self.hub.now() + CHECK_INTERVAL_S * draws.draw());
         let mut check_at = None;
         let mut timer = pin!(sleep(Duration::ZERO));
         loop {
@@ -301,7 +305,7 @@
                 let unprocessed = buffer.len();
                 let read_state = read_available(stream, buffer);
                 if buffer.len() > unprocessed {
-                    self.receive(buffer, &mut watch, &mut half_line_since)?;
+                    self.receive(buffer, &mut watch, &mut partial_line_since)?;
                 }
                 match read_state {
                     ReadState::Open => {}
@@ -321,7 +325,7 @@
                 if inner.must_give_back(self.hub.now(), self.machine) {
                     return Ok(End::GivenBack);
                 }
-                inner.open_on(self.machine, half_line_since)
+                inner.open_on(self.machine, partial_line_since)
             };
             let planned = checks.plan(self.hub.now(), open.due(&watch));
             if planned != check_at {
@@ -339,9 +343,9 @@
                 () = wakes.check.notified() => {}
                 () = &mut timer, if check_at.is_some() => {
                     let now = self.hub.now();
-                    checks.looked(now);
+                    checks.record_check(now);
                     check_at = None;
-                    let open = self.hub.lock().open_on(self.machine, half_line_since);
+                    let open = self.hub.lock().open_on(self.machine, partial_line_since);
                     if open.is_line_lost(now) {
                         return Err(io::Error::new(
                             io::ErrorKind::TimedOut,
@@ -351,10 +355,10 @@
                     if open.is_short {
                         self.hub.lock().reclaim_places(now);
                     }
-                    if open.is_test_late(now) {
+                    if open.is_probe_late(now) {
                         self.fail_probe(Outcome::TimedOut);
                     }
-                    match watch.look(now, open.holds_tasks, draws.draw()) {
+                    match watch.check(now, open.holds_tasks, draws.draw()) {
                         Step::Dial => beside.begin(address, self.dial),
                         step => {
                             if let Some(end) = self.apply_step(step, None, &watch, signs)? {
@@ -368,7 +372,7 @@
                     if dial != Dial::Short {
                         self.record_unreachable(dial == Dial::Silent);
                     }
-                    let is_open = self.hub.lock().is_open_at(self.machine);
+                    let is_open = self.hub.lock().has_open_attempt_at(self.machine);
                     let step = watch.dialled(self.hub.now(), dial, is_open);
                     if let Some(end) = self.apply_step(step, dialled.up(), &watch, signs)? {
                         return Ok(end);
@@ -383,7 +387,7 @@
                         }
                         match stream.try_read_buf(buffer) {
                             Ok(0) => return Ok(End::Closed),
-                            Ok(_) => self.receive(buffer, &mut watch, &mut half_line_since)?,
+                            Ok(_) => self.receive(buffer, &mut watch, &mut partial_line_since)?,
                             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                             Err(error) if is_transient(&error) => {}
                             Err(error) => return Err(error),
@@ -404,22 +408,22 @@
         step: Step,
         other: Option<TcpStream>,
         watch: &Watch,
-        signs: &mut Signs,
+        signs: &mut MachineActivity,
     ) -> io::Result<Option<End>> {
         match step {
             Step::Wait | Step::Dial => {}
             Step::Swap => return Ok(Some(other.map_or(End::Closed, End::Swap))),
-            Step::HearOut => {
+            Step::ReadNewToEnd => {
                 if let Some(other) = other {
                     tokio::spawn(self.clone().drain(other, BytesMut::new()));
                 }
             }
-            Step::Nudge => self.hub.lock().nudge_machine(self.machine),
+            Step::ProvokeReset => self.hub.lock().nudge_machine(self.machine),
             Step::Lost => self.send_input(Input::MachineLost { machine: self.machine, proved: false }),
             Step::Close => {
                 *signs = watch.signs();
                 // The open attempts are given up with the connection; running tasks may be waited for.
-                let (dials, quiet_s) = (signs.silent_dials, self.hub.now() - signs.sign);
+                let (dials, quiet_s) = (signs.failed_dials, self.hub.now() - signs.last_sign);
                 if dials > 0 && is_lost(dials, quiet_s, self.record_unreachable(true)) {
                     self.send_input(Input::MachineLost { machine: self.machine, proved: false });
                 }
@@ -454,12 +458,12 @@
         &self,
         buffer: &mut BytesMut,
         watch: &mut Watch,
-        half_line_since: &mut Option<Seconds>,
+        partial_line_since: &mut Option<Seconds>,
     ) -> io::Result<()> {
         self.hub.lock().places.used(self.hub.now(), self.machine);
         let about_task = self.process_lines(buffer)?;
         watch.heard(self.hub.now(), about_task);
-        *half_line_since = (!buffer.is_empty()).then(|| self.hub.now());
+        *partial_line_since = (!buffer.is_empty()).then(|| self.hub.now());
         Ok(())
     }
 
@@ -499,13 +503,13 @@
     fn apply_message(&self, message: MachineMessage) {
         let machine = self.machine;
         let mut inner = self.hub.lock();
-        if matches!(message, MachineMessage::Checked { number, .. } if number & PROOF == 0) {
+        if matches!(message, MachineMessage::Checked { number, .. } if number & FENCE_FLAG == 0) {
             let asked = inner.machine_links.get_mut(&machine).and_then(|l| l.probe.take());
             if asked.is_none() {
                 return; // The probe has timed out already.
             }
         }
-        let Some(input) = message.input(machine, inner.core.words()) else { return };
+        let Some(input) = message.input(machine, inner.core.vocabulary()) else { return };
         self.hub.apply_in(&mut inner, input);
     }
 }
--- a/src/wire/platform/boxes/end.rs
+++ b/src/wire/platform/machine_links/end.rs
@@ -89,7 +89,7 @@
             return far_end == FarEnd::Ended;
         }
         let has_left_list = self.hub.lock().write_final(self.link_id, stream);
-        if !has_left_list && !self.hub.lock().core.is_open_at(self.machine) {
+        if !has_left_list && !self.hub.lock().core.has_open_attempt_at(self.machine) {
             return true; // Nothing is open on it.
         }
         // Nothing that follows a corrupt line can be used.
--- a/src/wire/platform/lists.rs
+++ b/src/wire/platform/machine_list.rs
@@ -1,7 +1,7 @@
 //! Follows the machine list of the discovery service (the notice board of the `board` setting): connects,
 //! resumes after the last known event, and reconnects after every failure.
 
-use super::board::{self, Event, Known, Line};
+use super::board::{self, Event, KnownEvents, Line};
 use super::node::take_line;
 use crate::placer::ListKind;
 use crate::wire::errors::is_transient;
@@ -29,18 +29,18 @@
 #[derive(Clone, Debug)]
 pub struct Source {
     pub address: Option<String>,
-    pub known: Arc<Known>,
+    pub known: Arc<KnownEvents>,
 }
 
 /// Follows the machine list for as long as the program runs, also to a new address in a reloaded
 /// configuration; the revision numbers continue there.
-pub async fn follow(hub: Arc<Hub>, mut source: Receiver<Source>, mut rev: u64) {
+pub async fn follow_machine_list(hub: Arc<Hub>, mut source: Receiver<Source>, mut rev: u64) {
     let mut wait = RETRY_DELAYS.0;
     loop {
         let Source { address, known } = source.borrow_and_update().clone();
         // A new configuration may hold events that the previous service never sent.
         for event in known.notices.iter().filter(|event| event.rev > rev) {
-            take_in(&hub, event, Telling::Earlier);
+            apply_event(&hub, event, EventTiming::Earlier);
         }
         rev = rev.max(known.rev);
         let before = rev;
@@ -90,7 +90,7 @@
             match board::read(line) {
                 Ok(Line::Event(event)) if event.rev > *rev => {
                     *rev = event.rev;
-                    take_in(hub, &event, if is_live { Telling::Live } else { Telling::Earlier });
+                    apply_event(hub, &event, if is_live { EventTiming::Live } else { EventTiming::Earlier });
                 }
                 // The heartbeat names a later revision than was received: the events between were lost.
                 Ok(Line::Heartbeat(last)) if last > *rev => return Err(io::ErrorKind::InvalidData.into()),
@@ -123,9 +123,9 @@
 
 /// When an event happened, relative to when it is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Telling {
+pub enum EventTiming {
     /// It is the persisted list of the configuration.
-    Kept,
+    FromConfig,
     /// It happened earlier, at an unknown time.
     Earlier,
     /// It has just happened: the service had already sent all older events.
@@ -133,9 +133,9 @@
 }
 
 /// Applies an event of the list to the hub, or the persisted list as such.
-pub fn take_in(hub: &Hub, event: &Event, timing: Telling) {
+pub fn apply_event(hub: &Hub, event: &Event, timing: EventTiming) {
     let mut inner = hub.lock();
-    let (event_kind, notices) = event.notices(inner.core.words());
-    let kind = if timing == Telling::Kept { ListKind::Persisted } else { event_kind };
-    hub.apply_list(&mut inner, kind, notices, timing == Telling::Live);
+    let (event_kind, notices) = event.notices(inner.core.vocabulary());
+    let kind = if timing == EventTiming::FromConfig { ListKind::Persisted } else { event_kind };
+    hub.apply_list(&mut inner, kind, notices, timing == EventTiming::Live);
 }
--- a/src/wire/platform/mod.rs
+++ b/src/wire/platform/mod.rs
@@ -4,14 +4,14 @@
 //! Nothing here sends datagrams to peers: by design each planner counts only its own placements.
 
 pub mod board;
-mod boxes;
-mod lists;
+mod machine_links;
+mod machine_list;
 pub mod node;
 pub mod owner;
 pub mod owners;
 
-pub use boxes::hold_links;
-pub use lists::{follow, take_in, Source, Telling};
+pub use machine_links::run_machine_links;
+pub use machine_list::{apply_event, follow_machine_list, EventTiming, Source};
 pub use owners::serve;
 
 #[cfg(test)]
--- a/src/wire/platform/node.rs
+++ b/src/wire/platform/node.rs
@@ -1,7 +1,7 @@
 //! Encoding and decoding of the JSON lines exchanged with machines; pure functions on bytes.
 //!
 //! A set-up (`launch`) asks a machine to start a task; a `stop` releases one. A `check` is a health check,
-//! which the machine answers; with [`PROOF`] in its number the answer proves that everything written before
+//! which the machine answers; with [`FENCE_FLAG`] in its number the answer proves that everything written before
 //! it has been received.
 
 use crate::placer::*;
@@ -94,8 +94,8 @@
             MachineMessage::Stopped { job, before, after, why, load } => {
                 Input::Ended { machine, job, before, after, why, report: report(load) }
             }
-            MachineMessage::Checked { number, .. } if number & PROOF != 0 => {
-                Input::Heard { machine, ask: number & !PROOF }
+            MachineMessage::Checked { number, .. } if number & FENCE_FLAG != 0 => {
+                Input::FenceAnswered { machine, ask: number & !FENCE_FLAG }
             }
             MachineMessage::Checked { passed, load, .. } => {
                 let outcome = if passed { Outcome::Ok } else { Outcome::Error };
@@ -245,7 +245,7 @@
     pub attempt: AttemptNo,
     /// When the planner stops waiting for its answer.
     pub until: Seconds,
-    /// The number of the check with [`PROOF`] that is written right before it, if any.
+    /// The number of the check with [`FENCE_FLAG`] that is written right before it, if any.
     pub fence: Option<u64>,
     pub spec: Arc<Spec>,
 }
@@ -254,7 +254,7 @@
     /// The bytes of the set-up if it is written at `now`, and of the check before it. They form one queued
     /// message, so that the check is always written together with the set-up.
     pub fn lines(&self, now: Seconds) -> Vec<u8> {
-        let mut lines = self.fence.map_or_else(Vec::new, |ask| check(PROOF | ask));
+        let mut lines = self.fence.map_or_else(Vec::new, |ask| check(FENCE_FLAG | ask));
         lines.extend(launch(self.job, self.until - now, &self.spec));
         lines
     }
@@ -277,7 +277,7 @@
 
 /// Bit that marks the number of a check whose answer proves that the machine received everything written
 /// before it.
-pub const PROOF: u64 = 1 << 63;
+pub const FENCE_FLAG: u64 = 1 << 63;
 
 /// A health check; the machine answers with a load report.
 pub fn check(number: u64) -> Vec<u8> {
--- a/src/wire/platform/owners.rs
+++ b/src/wire/platform/owners.rs
@@ -4,7 +4,7 @@
 use super::node::{self, cause};
 use super::owner::{self, kind, Malformed, Message, SetUp};
 use crate::placer::*;
-use crate::state::{Ask, Core, Input, Owner, Spec};
+use crate::state::{Core, Input, JobSubmission, Owner, Spec};
 use crate::wire::errors::is_shortage;
 use crate::wire::hub::{has_unread_bytes, Hub, Inner};
 use crate::wire::outbox::{Written, NO_BUFFER_RETRY};
@@ -317,11 +317,11 @@
     let job = RequestId(message.task);
     let set_up = message.set_up()?;
     let at = set_up.at.clone();
-    let class = core.words().class(&set_up.class).ok_or(Malformed::Value("class"))?;
+    let class = core.vocabulary().class(&set_up.class).ok_or(Malformed::Value("class"))?;
     let ask = ask(job, link, now, class, set_up);
     // A task that already runs on a machine was admitted before, and needs no admission check.
     if let Some(name) = at {
-        return Ok(Input::Adopt { ask, machine: core.words().machine(&name) });
+        return Ok(Input::Adopt { ask, machine: core.vocabulary().machine(&name) });
     }
     core.admits(now, &ask).map_err(Malformed::Value)?;
     if !node::fits(job, &ask.spec) {
@@ -331,18 +331,18 @@
 }
 
 /// The job that a set-up asks for; the deadline counts from `now`.
-fn ask(job: RequestId, link: u64, now: Seconds, class: usize, set_up: SetUp) -> Ask {
+fn ask(job: RequestId, link: u64, now: Seconds, class: usize, set_up: SetUp) -> JobSubmission {
     let task = Task {
         class,
         tenant: None,
         service: ServiceId(set_up.service),
         room: Room { cores: set_up.cores, memory: set_up.memory },
         deadline: now + set_up.wait_ms as f64 / 1e3,
-        life_s: None,
+        expected_runtime_s: None,
         limits: TaskLimits::default(),
     };
     let service = format!("{:016x}", set_up.service);
     let SetUp { class, name, key, body, .. } = set_up;
     let spec = Spec { class, name, service, key, body, digest: 0 };
-    Ask { job, owner: Owner::Link(link), spec: Arc::new(spec), task }
+    JobSubmission { job, owner: Owner::Link(link), spec: Arc::new(spec), task }
 }
--- a/src/wire/rest/groups.rs
+++ b/src/wire/rest/groups.rs
@@ -6,7 +6,7 @@
 use super::Front;
 use crate::decide::groups::{self, OnLoss};
 use crate::placer::*;
-use crate::state::{GroupAsk, GroupId, GroupView, Input, Spec};
+use crate::state::{GroupId, GroupSubmission, GroupView, Input, Spec};
 use crate::wire::platform::node;
 use axum::body::Body;
 use axum::extract::rejection::QueryRejection;
@@ -130,10 +130,9 @@
         let job = member.job(new.deadline_ms);
         let wrong = |problem: Problem| problem.of_member(at);
         let own = member.key.clone().or_else(|| key.as_ref().map(|key| format!("{key}/{at}")));
-        let keyed =
-            inner.core.words().class(&job.class).is_some_and(|class| {
-                matches!(inner.core.settings().classes[class].effect, Effect::Keyed { .. })
-            });
+        let keyed = inner.core.vocabulary().class(&job.class).is_some_and(|class| {
+            matches!(inner.core.settings().classes[class].idempotency, Idempotency::Keyed { .. })
+        });
         let own = own.filter(|_| keyed);
         let class = jobs::check(&mut inner, &job, own.as_deref()).map_err(wrong)?;
         if own.as_ref().is_some_and(|own| !keys.insert((class, own.clone()))) {
@@ -149,7 +148,7 @@
             service: job.service_id(),
             room: Room { cores: job.cores, memory: job.memory },
             deadline,
-            life_s: None,
+            expected_runtime_s: None,
             limits: TaskLimits::default(),
         };
         let (class, service, body) = (job.class, job.service, job.description);
@@ -184,7 +183,7 @@
         Loss::Replace => OnLoss::Replace,
     };
     let (policy, share) = (figures.policy(on_loss), figures.share);
-    let ask = GroupAsk { group, members, deadline, policy, share, key, digest };
+    let ask = GroupSubmission { group, members, deadline, policy, share, key, digest };
     front.hub.apply_in(&mut inner, Input::SubmitGroup(ask));
     Ok((group, false))
 }
--- a/src/wire/rest/jobs.rs
+++ b/src/wire/rest/jobs.rs
@@ -5,7 +5,7 @@
 use super::objects::{self, NewJob};
 use super::Front;
 use crate::placer::*;
-use crate::state::{Ask, Input, JobView, Owner, Phase, Refusal, Spec};
+use crate::state::{Input, JobSubmission, JobView, Owner, Phase, Refusal, Spec};
 use crate::wire::hub::Inner;
 use crate::wire::platform::node;
 use axum::body::Body;
@@ -87,16 +87,16 @@
 
 /// Tells whether the job can be asked for at all, and gives the index of its class.
 pub(super) fn check(inner: &mut Inner, new: &NewJob, key: Option<&str>) -> Result<usize, Problem> {
-    let class = inner.core.words().class(&new.class);
+    let class = inner.core.vocabulary().class(&new.class);
     let class = class.ok_or_else(|| Problem::bad(&format!("there is no class {:?}", new.class)))?;
     let settings = inner.core.settings();
-    let effect = settings.classes[class].effect;
-    let keyed = matches!(effect, Effect::Keyed { .. });
+    let idempotency = settings.classes[class].idempotency;
+    let keyed = matches!(idempotency, Idempotency::Keyed { .. });
     let amount = |x: f64| x.is_finite() && x > 0.0;
     let faults = [
         (keyed && key.is_none(), "a job of this class needs an Idempotency-Key"),
         (
-            effect == Effect::Repeatable && key.is_some(),
+            idempotency == Idempotency::Repeatable && key.is_some(),
             "a job of this class takes no Idempotency-Key: its repeats are not joined",
         ),
         (!(amount(new.cores) && amount(new.memory)), "cores and memory must be above 0"),
@@ -146,7 +146,7 @@
         service: new.service_id(),
         room: Room { cores: new.cores, memory: new.memory },
         deadline: front.hub.now() + new.deadline_ms as f64 / 1e3,
-        life_s: None,
+        expected_runtime_s: None,
         limits: TaskLimits::default(),
     };
     let name = objects::id(id);
@@ -155,7 +155,7 @@
     if !node::fits(id, &spec) {
         return Err(Problem::bad("the description is too long for a machine's message"));
     }
-    let ask = Ask { job: id, owner: Owner::Rest, spec: Arc::new(spec), task };
+    let ask = JobSubmission { job: id, owner: Owner::Rest, spec: Arc::new(spec), task };
     inner.turned_away = None;
     front.hub.apply_in(&mut inner, Input::Submit(ask));
     match inner.turned_away.take() {
--- a/src/wire/rest/limits.rs
+++ b/src/wire/rest/limits.rs
@@ -12,14 +12,14 @@
 
 fn figures(of: &Figures) -> Map<String, Value> {
     let value = |word: String| serde_json::from_str(&word).unwrap_or(Value::String(word));
-    explain::words(of).into_iter().map(|(name, word)| (name.to_string(), value(word))).collect()
+    explain::figures_by_name(of).into_iter().map(|(name, word)| (name.to_string(), value(word))).collect()
 }
 
 /// The planner's part in its fleet: what it holds of each budget.
 fn fleet(of: &FleetView, counts: &DatagramCounts) -> Value {
     let slots = of.slots.iter().map(|(slot, left_s)| json!({"slot": slot, "forMs": (left_s * 1e3).round()}));
     let budgets = of.budgets.iter().map(|b| {
-        json!({"place": &*b.place, "of": b.kind.word(), "whole": b.whole.1, "wholeOfFile": b.whole.0,
+        json!({"place": &*b.place, "of": b.kind.setting_name(), "whole": b.total.1, "wholeOfFile": b.total.0,
             "usable": b.usable, "used": b.used, "wanted": b.demand})
     });
     json!({
@@ -28,7 +28,7 @@
         "heardLately": of.here,
         "slots": slots.collect::<Vec<_>>(),
         "budgets": budgets.collect::<Vec<_>>(),
-        "datagrams": {"heard": counts.heard.0, "heardBytes": counts.heard.1, "sent": counts.sent.0,
+        "datagrams": {"heard": counts.received.0, "heardBytes": counts.received.1, "sent": counts.sent.0,
             "sentBytes": counts.sent.1, "unlisted": counts.unlisted, "otherFleet": counts.other,
             "otherVersion": counts.version, "unreadable": counts.unreadable},
     })
@@ -41,7 +41,7 @@
         let now = front.hub.now();
         let view = inner.core.limits_view(now);
         let of_fleet = inner.core.fleet_view(now).map(|view| fleet(&view, &inner.peer_counts));
-        (view, inner.core.words().classes().to_vec(), of_fleet)
+        (view, inner.core.vocabulary().classes().to_vec(), of_fleet)
     };
     let model = view.table.model();
     let classes: Map<String, Value> =
@@ -60,8 +60,8 @@
         .readings
         .iter()
         .map(|r| {
-            json!({"place": &*r.name, "inFlight": r.in_flight, "firstTries": r.first_tries,
-                "furtherTries": r.further_tries})
+            json!({"place": &*r.name, "inFlight": r.in_flight, "firstTries": r.first_attempts,
+                "furtherTries": r.retries})
         })
         .collect();
     let mut body = json!({
--- a/src/wire/trail.rs
+++ b/src/wire/trail.rs
@@ -48,7 +48,7 @@
         Input::Ended { machine, job, before, after, why, .. } => {
             tracing::debug!(target: TARGET, job = uid(*job), machine = name(machine), ?before, ?after, ?why, "ended");
         }
-        Input::Heard { machine, ask } => {
+        Input::FenceAnswered { machine, ask } => {
             tracing::debug!(target: TARGET, machine = name(machine), ask, "heard");
         }
         Input::DialFailed { machine }
@@ -83,7 +83,7 @@
         Effect::Disconnect { machine, departure } => {
             tracing::debug!(target: TARGET, machine = name(machine), departure, "disconnected");
         }
-        Effect::Ask { machine, ask } => {
+        Effect::SendFence { machine, ask } => {
             tracing::debug!(target: TARGET, machine = name(machine), ask, "asked")
         }
         Effect::Probe { machine } => tracing::debug!(target: TARGET, machine = name(machine), "probed"),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,10 +4,10 @@
 use burlhook::*;
 
 /// One class, one kind of ten cores and twenty memory, two attempts of room to spare.
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         classes: vec![Class {
-            effect,
+            idempotency,
             deadline_s: 5.0,
             on_time_s: 1.0,
             late_share: 0.1,
@@ -30,8 +30,8 @@
         reports_used: false,
         probes: true,
         max_attempts: 4,
-        cold_bears: 10.0,
-        fall_s: 3.0,
+        cold_offer_limit: 10.0,
+        cold_window_s: 3.0,
         warm_within_s: 18.0,
         tick_s: 0.002,
         over_share_worth: 0.1,
@@ -59,7 +59,7 @@
         service: ServiceId(service),
         room: Room { cores: 1.0, memory: 1.0 },
         deadline,
-        life_s: Some(10.0),
+        expected_runtime_s: Some(10.0),
         limits: TaskLimits::default(),
     }
 }
--- a/tests/many_placers.rs
+++ b/tests/many_placers.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn binds_of_all_placers_spread_over_the_machines_they_may_fill() {
-    let mut all = placers(200, &settings(Effect::Repeatable), &fleet(100));
+    let mut all = placers(200, &settings(Idempotency::Repeatable), &fleet(100));
     let mut count: BTreeMap<u32, u32> = BTreeMap::new();
     for (n, rig) in (0u64..).zip(&mut all) {
         let at = binds(&rig.submit(2.0, n, task(n, 7.0)))[0];
@@ -29,13 +29,13 @@
 
 #[test]
 fn one_placer_binds_within_one_increment_of_the_lowest() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 9.0), entry(1, 7.5), entry(2, 7.0)]);
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &[entry(0, 9.0), entry(1, 7.5), entry(2, 7.0)]);
     assert_eq!(binds(&rig.submit(2.0, 1, task(1, 7.0))), [0]);
 }
 
 #[test]
 fn tasks_of_a_service_meet_though_no_placer_sees_the_others() {
-    let mut all = placers(50, &settings(Effect::Repeatable), &fleet(40));
+    let mut all = placers(50, &settings(Idempotency::Repeatable), &fleet(40));
     let mut homes = Vec::new();
     for service in 0..5 {
         let at: Vec<u32> = (0u64..)
@@ -52,8 +52,8 @@
 
 #[test]
 fn a_cold_machine_is_safe_from_the_sum_of_all_placers_and_still_used() {
-    let mut wanted = settings(Effect::Repeatable);
-    wanted.cold_bears = 60.0;
+    let mut wanted = settings(Idempotency::Repeatable);
+    wanted.cold_offer_limit = 60.0;
     let cold = Entry { started: 90.0, ..entry(0, 10.0) };
     let mut all = placers(300, &wanted, &[entry(1, 0.0)]);
     for rig in &mut all {
@@ -96,11 +96,11 @@
     /// So many placers, which are told that they are `told`, and machines that bear so many offers.
     fn new(placers: u32, told: u32, bears: f64) -> Release {
         let wanted = Settings {
-            cold_bears: bears,
-            fall_s: FALL_S,
+            cold_offer_limit: bears,
+            cold_window_s: FALL_S,
             warm_within_s: 60.0,
             placers: told,
-            ..settings(Effect::Repeatable)
+            ..settings(Idempotency::Repeatable)
         };
         let warm = entry(COLD, 0.0);
         let cold = (0..COLD).map(|n| Entry { started: 97.0 + f64::from(n), ..entry(n, 10.0) }).collect();
@@ -201,8 +201,8 @@
 
 #[test]
 fn a_placer_that_came_up_again_counts_its_forgotten_offers_as_sent() {
-    let mut wanted = settings(Effect::Repeatable);
-    wanted.cold_bears = 60.0;
+    let mut wanted = settings(Idempotency::Repeatable);
+    wanted.cold_offer_limit = 60.0;
     let mut rig = Rig::new(wanted, &[Entry { started: 0.5, ..entry(0, 10.0) }]);
     assert!(binds(&rig.submit(2.0, 1, task(1, 9.0))).is_empty());
     assert_eq!(binds(&rig.feed(5.0, Event::Timer)), [0]);
@@ -210,7 +210,7 @@
 
 #[test]
 fn the_first_attempt_of_a_placer_has_a_time_out() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 9.0)]);
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &[entry(0, 9.0)]);
     let sent = rig.submit(2.0, 1, task(1, 7.0));
     let until = sent.iter().find_map(|a| match a {
         Action::Bind { give_up_at, .. } => Some(*give_up_at),
@@ -221,7 +221,7 @@
 
 #[test]
 fn a_placer_with_few_tasks_passes_over_a_silent_machine_until_its_next_ones() {
-    let mut wanted = settings(Effect::Repeatable);
+    let mut wanted = settings(Idempotency::Repeatable);
     wanted.placers = 300;
     let mut rig = Rig::new(wanted, &[entry(0, 9.0)]);
     rig.submit(2.0, 1, task(1, 7.0));
@@ -235,13 +235,13 @@
 
 #[test]
 fn an_idle_placer_asks_for_no_timers() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &fleet(4));
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &fleet(4));
     assert!(rig.feed(2.0, Event::Timer).iter().all(|a| !matches!(a, Action::SetTimer { .. })));
 }
 
 #[test]
 fn placers_that_lose_a_machine_at_once_do_not_look_for_it_in_step() {
-    let mut all = placers(60, &settings(Effect::Repeatable), &[entry(0, 9.0)]);
+    let mut all = placers(60, &settings(Idempotency::Repeatable), &[entry(0, 9.0)]);
     let mut looks: Vec<f64> = Vec::new();
     for (n, rig) in (0u64..).zip(&mut all) {
         assert_eq!(binds(&rig.submit(2.0, n, task(n, 7.0))), [0]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn binds_at_the_lowest_sum() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 2.0), entry(1, 9.0)]);
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &[entry(0, 2.0), entry(1, 9.0)]);
     for n in 0..5 {
         assert_eq!(binds(&rig.submit(2.0, n, task(n, 7.0))), [1], "bind {n}");
         rig.feed(2.0, Event::Noted { request: RequestId(n), attempt: 0, note: Note::Runs });
@@ -19,7 +19,7 @@
 
 #[test]
 fn own_binds_count_until_the_view_shows_them() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &two());
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &two());
     let mut count = [0u32; 2];
     for n in 0..8 {
         count[binds(&rig.submit(2.0, n, task(n, 7.0)))[0] as usize] += 1;
@@ -32,7 +32,7 @@
 
 #[test]
 fn holds_then_answers_just_before_the_deadline_and_only_once() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 0.5)]);
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &[entry(0, 0.5)]);
     let first = rig.submit(2.0, 1, task(1, 7.0));
     assert!(binds(&first).is_empty() && !refused(&first));
     assert!(!refused(&rig.feed(6.9, Event::Timer)));
@@ -44,13 +44,13 @@
 
 #[test]
 fn a_request_that_comes_too_late_is_answered_at_once() {
-    let mut rig = Rig::new(settings(Effect::Once), &two());
+    let mut rig = Rig::new(settings(Idempotency::Once), &two());
     assert!(refused(&rig.submit(2.0, 1, task(1, 2.0))));
 }
 
 #[test]
 fn a_refusal_as_full_is_followed_by_a_pause() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &two());
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &two());
     let first = binds(&rig.submit(2.0, 1, task(1, 7.0)))[0];
     let after = rig.end(2.02, 1, 0, Outcome::Full, Reason::NoCores);
     assert!(binds(&after).is_empty());
@@ -66,7 +66,7 @@
 fn an_ask_that_errs_everywhere_bars_no_machine() {
     let fleet = [entry(0, 10.0), entry(1, 5.0), entry(2, 4.0), entry(3, 1.0)];
     for errors in [1, 2, 4] {
-        let mut rig = Rig::new(settings(Effect::Repeatable), &fleet);
+        let mut rig = Rig::new(settings(Idempotency::Repeatable), &fleet);
         assert_eq!(binds(&rig.submit(2.0, 1, task(1, 7.0))), [0]);
         for attempt in 0..errors {
             rig.end(2.05, 1, attempt, Outcome::Error, Reason::Unknown);
@@ -80,7 +80,7 @@
 
 #[test]
 fn once_is_only_failed_after_it_might_have_run() {
-    let mut rig = Rig::new(settings(Effect::Once), &two());
+    let mut rig = Rig::new(settings(Idempotency::Once), &two());
     rig.submit(2.0, 1, task(1, 7.0));
     let after = rig.end(3.0, 1, 0, Outcome::TimedOut, Reason::Unknown);
     assert!(failed(&after) && binds(&after).is_empty() && !refused(&after));
@@ -88,7 +88,7 @@
 
 #[test]
 fn once_goes_on_after_proof_that_it_never_ran() {
-    let mut rig = Rig::new(settings(Effect::Once), &two());
+    let mut rig = Rig::new(settings(Idempotency::Once), &two());
     let first = binds(&rig.submit(2.0, 1, task(1, 7.0)))[0];
     let after = rig.end(2.3, 1, 0, Outcome::ConnectFailed, Reason::Unknown);
     assert_eq!(binds(&after), [1 - first]);
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_keyed_task_stays_in_its_cell_and_window() {
-    let keyed = Effect::Keyed { group: Place::Cell, window_s: 4.0 };
+    let keyed = Idempotency::Keyed { group: Place::Cell, window_s: 4.0 };
     let fleet = [entry(0, 8.0), entry(1, 8.0), entry(2, 10.0)];
     let mut rig = Rig::new(settings(keyed), &fleet);
     assert_eq!(binds(&rig.submit(2.0, 1, task(1, 9.0))), [2]);
@@ -112,21 +112,21 @@
 #[test]
 fn a_draining_or_gone_machine_gets_nothing() {
     for standing in [Standing::Draining, Standing::Gone] {
-        let mut rig = Rig::new(settings(Effect::Repeatable), &two());
+        let mut rig = Rig::new(settings(Idempotency::Repeatable), &two());
         rig.list(1.5, &[Entry { standing, ..entry(0, 10.0) }]);
         for n in 0..6 {
             assert!(!binds(&rig.submit(2.0, n, task(n, 7.0))).contains(&0));
         }
     }
-    let mut rig = Rig::new(settings(Effect::Repeatable), &two());
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &two());
     rig.feed(1.5, Event::List { kind: ListKind::Whole, entries: vec![entry(1, 5.0)] });
     assert_eq!(binds(&rig.submit(2.0, 1, task(1, 7.0))), [1]);
 }
 
 #[test]
 fn a_cold_machine_gets_its_part_of_the_budget() {
-    let mut wanted = settings(Effect::Repeatable);
-    (wanted.cold_bears, wanted.placers) = (5.0, 2);
+    let mut wanted = settings(Idempotency::Repeatable);
+    (wanted.cold_offer_limit, wanted.placers) = (5.0, 2);
     let mut rig = Rig::new(wanted, &[Entry { started: 1.0, ..entry(0, 10.0) }]);
     let mut sent = 0;
     for n in 0..20 {
@@ -142,7 +142,7 @@
 
 #[test]
 fn spread_counts_attempts_and_residents() {
-    let mut wanted = settings(Effect::Repeatable);
+    let mut wanted = settings(Idempotency::Repeatable);
     wanted.classes[0].spread = Some((Place::Cell, 2));
     let mut rig = Rig::new(wanted, &two());
     let resident = Event::Resident { request: RequestId(1), task: task(9, 50.0), machine: MachineId(0) };
@@ -155,7 +155,7 @@
 
 #[test]
 fn attempts_stay_within_the_most() {
-    let mut wanted = settings(Effect::Repeatable);
+    let mut wanted = settings(Idempotency::Repeatable);
     wanted.max_attempts = 2;
     let mut rig = Rig::new(wanted, &[entry(0, 8.0), entry(1, 8.0), entry(2, 8.0)]);
     rig.submit(2.0, 1, task(1, 7.0));
@@ -165,7 +165,7 @@
 
 #[test]
 fn a_failed_call_for_the_list_is_repeated_in_time() {
-    let mut wanted = settings(Effect::Repeatable);
+    let mut wanted = settings(Idempotency::Repeatable);
     wanted.ask_for_list = true;
     let mut rig = Rig { placer: Placer::new(wanted, 7).expect("good settings") };
     let first = rig.feed(1.0, Event::List { kind: ListKind::Persisted, entries: two() });
@@ -183,16 +183,18 @@
 
 #[test]
 fn settings_that_cannot_be_served_are_refused() {
-    let no_classes = Settings { classes: vec![], ..settings(Effect::Once) };
+    let no_classes = Settings { classes: vec![], ..settings(Idempotency::Once) };
     assert!(Placer::new(no_classes, 1).is_err());
-    let no_size =
-        Settings { kinds: vec![Kind { size: Room { cores: -1.0, memory: 1.0 } }], ..settings(Effect::Once) };
+    let no_size = Settings {
+        kinds: vec![Kind { size: Room { cores: -1.0, memory: 1.0 } }],
+        ..settings(Idempotency::Once)
+    };
     assert!(Placer::new(no_size, 1).is_err());
 }
 
 #[test]
 fn odd_but_legal_events_change_nothing() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &two());
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &two());
     let nobody = RequestId(99);
     rig.feed(1.1, Event::Withdrawn { request: nobody });
     rig.feed(1.1, Event::Bound { request: nobody, attempt: 3, took_s: 0.1 });
@@ -213,7 +215,7 @@
 
 #[test]
 fn a_machine_that_sends_its_tasks_away_is_passed_over_before_the_list_says_so() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 9.0), entry(1, 3.0)]);
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &[entry(0, 9.0), entry(1, 3.0)]);
     assert_eq!(binds(&rig.submit(2.0, 1, task(1, 7.0))), [0]);
     rig.feed(2.1, Event::Bound { request: RequestId(1), attempt: 0, took_s: 0.1 });
     rig.end(2.2, 1, 0, Outcome::Lost, Reason::SentAway);
@@ -223,7 +225,7 @@
 
 #[test]
 fn no_view_hides_own_tasks() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 10.0)]);
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &[entry(0, 10.0)]);
     for n in 0..9 {
         let resident = Event::Resident { request: RequestId(n), task: task(n, 50.0), machine: MachineId(0) };
         rig.feed(1.5, resident);
@@ -234,7 +236,7 @@
 
 #[test]
 fn a_machine_that_keeps_the_program_is_favoured() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 8.0), entry(1, 9.0)]);
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &[entry(0, 8.0), entry(1, 9.0)]);
     let resident = Event::Resident { request: RequestId(1), task: task(9, 50.0), machine: MachineId(0) };
     rig.feed(1.5, resident);
     assert_eq!(binds(&rig.submit(2.0, 2, task(9, 7.0))), [0]);
@@ -243,7 +245,7 @@
 
 #[test]
 fn a_machine_that_fails_one_class_is_passed_over_for_that_class_alone() {
-    let mut wanted = settings(Effect::Repeatable);
+    let mut wanted = settings(Idempotency::Repeatable);
     wanted.classes.push(wanted.classes[0].clone());
     let mut rig = Rig::new(wanted, &[entry(0, 9.0), entry(1, 3.0)]);
     let mut now = 2.0;
@@ -266,7 +268,7 @@
 
 #[test]
 fn a_machine_that_answers_probes_but_no_offers_is_tried_by_one_task_at_a_time() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 9.0), entry(1, 3.0)]);
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &[entry(0, 9.0), entry(1, 3.0)]);
     assert_eq!(binds(&rig.submit(2.0, 1, task(1, 7.0))), [0]);
     rig.end(3.0, 1, 0, Outcome::TimedOut, Reason::Unknown);
     let answer = || Event::Probed { machine: MachineId(0), outcome: Outcome::Ok, report: None };
