--- a/lab/src/capacity/command.rs
+++ b/lab/src/capacity/command.rs
@@ -5,82 +5,82 @@
 use super::hollow_machine;
 use super::page::{self, PageError};
 use super::record::{Run, RECORDS};
-use super::slopes::{select, Options, TABLE};
+use super::slopes::{select, Options, SLOPES};
 use crate::planner::Program;
 use clap::Subcommand;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Count. Runs at each size where nothing else is said.
+/// The default number of runs at each size.
 const REPEATS: usize = 3;
 
-/// What to do with the slopes.
+/// The subcommands of `burlhook-lab capacity`.
 #[derive(Debug, Subcommand)]
 pub enum Action {
-    /// Measures slopes, fits them and writes one JSON file each; alone on the machine.
+    /// Measures slopes and writes one JSON file for each; nothing else should run on the machine.
     Run {
-        /// The slopes by name; all if none is named.
+        /// The names of the slopes; all slopes if none is given.
         slopes: Vec<String>,
-        /// Smaller sizes, for minutes.
+        /// Use the smaller sizes, which take only minutes.
         #[arg(long)]
         short: bool,
-        /// The records as JSON on standard output, too.
+        /// Also print the records as JSON to standard output.
         #[arg(long)]
         json: bool,
         /// The root of the repository.
         #[arg(long, default_value = ".")]
         root: PathBuf,
-        /// The planner's program; this one's own planner if absent.
+        /// The planner program; by default the one that belongs to this program.
         #[arg(long)]
         planner: Option<PathBuf>,
-        /// The commit of that program, where it is not the one that is checked out.
+        /// The commit of that program, if it is not the one that is checked out.
         #[arg(long)]
         commit: Option<String>,
         /// The folder of the records, relative to the root.
         #[arg(long, default_value = RECORDS)]
         records: PathBuf,
-        /// Runs at each size; fewer at the greatest.
+        /// Runs at each size; some slopes do one fewer at the largest.
         #[arg(long, default_value_t = REPEATS)]
         repeats: usize,
     },
-    /// Two programs by turns over hollow machines, and the ratios of what they used.
+    /// Measures two programs alternately with hollow machines, and prints the ratios of their costs.
     Compare {
-        /// The program before.
+        /// The planner program before the change.
         #[arg(long)]
         before: PathBuf,
-        /// The program after.
+        /// The planner program after the change.
         #[arg(long)]
         after: PathBuf,
-        /// Commits of the two programs, for the record.
+        /// The commits of the two programs, for the record.
         #[arg(long, num_args = 2, default_values = ["", ""])]
         commits: Vec<String>,
-        /// Smaller sizes, for minutes.
+        /// Use the smaller sizes, which take only minutes.
         #[arg(long)]
         short: bool,
-        /// Planners that the settings tell of.
+        /// The number of planners listed in the configuration.
         #[arg(long, default_value_t = 1)]
         listed: usize,
-        /// Descriptors that the configuration allows each planner.
+        /// The number of file descriptors that the configuration allows each planner.
         #[arg(long, default_value_t = SOCKETS)]
         sockets: u32,
-        /// Runs of each program at each size; fewer at the greatest.
+        /// Runs of each program at each size; one fewer at the largest.
         #[arg(long, default_value_t = REPEATS)]
         repeats: usize,
         /// The root of the repository.
         #[arg(long, default_value = ".")]
         root: PathBuf,
-        /// The record, relative to the root.
+        /// The path of the record, relative to the root.
         #[arg(long, default_value = COMPARISON)]
         record: PathBuf,
     },
-    /// Hollow machines until standard input ends, as the slopes start them.
+    /// Runs hollow machines until standard input is closed; started by the slopes.
     #[command(hide = true)]
     HollowMachines {
-        /// How they behave, as JSON.
+        /// The behaviour of the machines, as JSON.
         plan: String,
     },
-    /// Fits all figures of the records anew and writes the records.
+    /// Fits all figures of the records again and writes the records.
     Fit {
         /// The root of the repository.
         #[arg(long, default_value = ".")]
@@ -88,7 +88,7 @@
     },
     /// Writes the tables of docs/CAPACITY.md from the records.
     Page {
-        /// Writes nothing, and fails where page and records differ.
+        /// Write nothing, and fail if the page differs from the records.
         #[arg(long)]
         check: bool,
         /// The root of the repository.
@@ -97,10 +97,10 @@
     },
 }
 
-/// Carries out an action.
+/// Executes a subcommand.
 ///
 /// # Errors
-/// If a run cannot be started or a record not be written.
+/// If a run cannot be started, or a record cannot be read or written.
 pub fn run(action: Action) -> io::Result<bool> {
     match action {
         Action::Run { slopes, short, json, root, planner, commit, records, repeats } => {
@@ -130,19 +130,19 @@
             hollow_machine::run(&plan)?;
             Ok(true)
         }
-        Action::Fit { root } => done(page::fit(&root)),
-        Action::Page { check: true, root } => done(page::check(&root)),
-        Action::Page { check: false, root } => done(page::write(&root)),
+        Action::Fit { root } => page_result(page::fit(&root)),
+        Action::Page { check: true, root } => page_result(page::check(&root)),
+        Action::Page { check: false, root } => page_result(page::write(&root)),
     }
 }
 
-/// An error goes to the command line as it stands.
-fn done(outcome: Result<(), PageError>) -> io::Result<bool> {
+/// Converts the result of a page operation to that of a subcommand, with the error's text unchanged.
+fn page_result(outcome: Result<(), PageError>) -> io::Result<bool> {
     outcome.map(|()| true).map_err(io::Error::other)
 }
 
 fn measure(names: &[String], options: &Options, records: &Path, json: bool) -> io::Result<bool> {
-    for entry in select(TABLE, names)? {
+    for entry in select(SLOPES, names)? {
         for slope in (entry.measure)(options)? {
             slope.write_into(records)?;
             if json {
@@ -153,7 +153,7 @@
     Ok(true)
 }
 
-/// Where and when the slopes of this run are measured.
+/// Describes this run: the date, the checked-out commit and the machine.
 pub fn describe_run(root: &Path, short: bool) -> Run {
     let output = |program: &str, arguments: &[&str]| {
         let output = Command::new(program).args(arguments).current_dir(root).output().ok();
--- a/lab/src/capacity/compare.rs
+++ b/lab/src/capacity/compare.rs
@@ -1,4 +1,5 @@
-//! Two programs by turns in one run: at rest and under load, over hollow machines of which a tenth of the room is spare.
+//! Compares two versions of the program, measured alternately in one run: at rest and under load, with hollow
+//! machines that have a tenth of their capacity free.
 
 use super::bench::{Bench, Scene, MEMORY_MB};
 use super::hollow_machine::Plan;
@@ -10,60 +11,65 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Where the comparison is kept, relative to the root of the repository.
+/// The record of the comparison, relative to the root of the repository.
 pub const COMPARISON: &str = "docs/capacity/compare.json";
 
+/// Numbers of machines.
 const SIZES: &[usize] = &[20, 1_000, 4_000, 10_000, 18_000];
+/// Numbers of machines for the short form.
 const SHORT_SIZES: &[usize] = &[20, 100, 200, 400, 800];
-const RATE: f64 = 200.0;
-const SPAN: Duration = Duration::from_secs(4);
-/// Milliseconds of a task's life: at the least size asks take half of the room that is spare.
-const LIFE_MS: u64 = 200;
-/// Share of the room that is spare.
-const SPARE: f64 = 0.1;
+/// Requests per second under load.
+const REQUESTS_PER_S: f64 = 200.0;
+/// How long the load lasts.
+const LOAD_DURATION: Duration = Duration::from_secs(4);
+/// The duration of a task in milliseconds: at the smallest size the requests use half of the free capacity.
+const TASK_DURATION_MS: u64 = 200;
+/// The share of the machines' capacity that is free.
+const SPARE_SHARE: f64 = 0.1;
 
-/// What planners are told.
+/// The planners' configuration, as far as the command line of a comparison sets it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Setting {
-    /// Planners that the settings tell of.
+    /// The number of planners listed in the configuration.
     pub listed: usize,
-    /// Descriptors that the configuration allows each planner.
+    /// The number of file descriptors that the configuration allows each planner.
     pub sockets: u32,
 }
 
-/// Two programs at all sizes.
+/// The record of a comparison.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// Where and when.
+    /// When and on which machine it was measured.
     pub run: Run,
-    /// The commits of the programs.
+    /// The commits of the two programs.
     pub commits: Vec<String>,
-    /// What planners were told.
+    /// The configuration of the planners.
     pub setting: Setting,
-    /// Megabytes that the configuration allowed.
+    /// The memory in megabytes that the configuration allows.
     pub memory_mb: f64,
-    /// Asks a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Share of the room that was spare.
+    /// The share of the machines' capacity that is free.
     pub spare: f64,
-    /// What was measured.
+    /// The measured figures.
     pub figures: Vec<Compared>,
 }
 
-/// A figure of both programs.
+/// One figure, measured with both programs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Compared {
     /// Its name.
     pub name: String,
     /// Its unit.
     pub unit: String,
-    /// Before, by machines.
+    /// The values of the first program, by number of machines.
     pub before: Vec<Point>,
-    /// After, by machines.
+    /// The values of the second program, by number of machines.
     pub after: Vec<Point>,
 }
 
 impl Comparison {
+    /// Adds the values of one run; `program` is 0 for the first program and 1 for the second.
     fn add(&mut self, program: usize, size: f64, values: &[(&str, &str, f64)]) {
         for (name, unit, value) in values {
             let at =
@@ -93,7 +99,7 @@
         std::fs::write(path, text + "\n")
     }
 
-    /// Prints medians and ratios.
+    /// Prints the medians of both programs and their ratios.
     pub fn print(&self) {
         println!("{:<36} {:>9} {:>12} {:>12} {:>8}", "figure", "machines", "before", "after", "ratio");
         for figure in &self.figures {
@@ -106,40 +112,41 @@
     }
 }
 
+/// Measures one program once, at one number of machines.
 fn measure_one(
     options: &Options,
     machines: usize,
     setting: Setting,
 ) -> io::Result<Vec<(&'static str, &'static str, f64)>> {
-    let plan = Plan { spare: SPARE, life_ms: LIFE_MS, ..Plan::default() };
+    let plan = Plan { spare: SPARE_SHARE, life_ms: TASK_DURATION_MS, ..Plan::default() };
     let scene = Scene { plan, listed: setting.listed, sockets: setting.sockets, ..Scene::of(machines) };
     let bench = Bench::start(options, scene)?;
     let started = bench.reach()?;
     let rest = bench.rest()?;
-    let asks = bench.ask(RATE, SPAN, 1 << 32)?;
+    let load = bench.ask(REQUESTS_PER_S, LOAD_DURATION, 1 << 32)?;
     let values = vec![
         ("from start to ready", "ms", started.ready.as_secs_f64() * 1e3),
         ("machines reached", "count", started.machines as f64),
         ("processor time at rest", "share of a core", rest.share()),
         ("resident memory", "MB", rest.resident_mb()),
-        ("resident memory after asks", "MB", asks.window.resident_mb()),
+        ("resident memory after asks", "MB", load.window.resident_mb()),
         ("bytes in at rest", "bytes/s", rest.bytes_in()),
         ("bytes out at rest", "bytes/s", rest.bytes_out()),
         ("open connections", "count", rest.open() as f64),
-        ("processor time an ask, all in all", "ms", asks.total_ms()),
-        ("processor time an ask, without rest", "ms", asks.own_ms(rest.share())),
-        ("answer, p50", "ms", asks.placed_ms(0.5)),
-        ("answer, p99", "ms", asks.placed_ms(0.99)),
-        ("failed or unanswered", "count", asks.failed() as f64),
-        ("share placed", "share", asks.placed_share()),
+        ("processor time an ask, all in all", "ms", load.total_ms()),
+        ("processor time an ask, without rest", "ms", load.own_ms(rest.share())),
+        ("answer, p50", "ms", load.placed_ms(0.5)),
+        ("answer, p99", "ms", load.placed_ms(0.99)),
+        ("failed or unanswered", "count", load.failed() as f64),
+        ("share placed", "share", load.placed_share()),
     ];
     Ok(values)
 }
 
-/// Measures two programs, before and after, by turns.
+/// Measures two programs alternately; the first is the one before a change, the second the one after it.
 ///
 /// # Errors
-/// If a process cannot be started or is gone.
+/// If a process cannot be started or has exited.
 pub fn measure(
     options: &Options,
     programs: &[PathBuf; 2],
@@ -151,21 +158,21 @@
         commits: commits.to_vec(),
         setting,
         memory_mb: MEMORY_MB,
-        rate: RATE,
-        spare: SPARE,
+        rate: REQUESTS_PER_S,
+        spare: SPARE_SHARE,
         figures: Vec::new(),
     };
     for (machines, runs) in options.runs(SIZES, SHORT_SIZES) {
         for number in 1..=runs {
-            for (which, path) in programs.iter().enumerate() {
+            for (index, path) in programs.iter().enumerate() {
                 let options = Options { program: Program::at(path), ..options.clone() };
                 let values = measure_one(&options, machines, setting)?;
-                comparison.add(which, machines as f64, &values);
+                comparison.add(index, machines as f64, &values);
                 let shown = values.iter().map(|(name, _, value)| format!("{name} {value:.3}"));
-                let which = ["before", "after"][which];
+                let label = ["before", "after"][index];
                 let shown: Vec<String> = shown.collect();
                 eprintln!(
-                    "capacity: {machines} machines, {which}, run {number} of {runs}: {}",
+                    "capacity: {machines} machines, {label}, run {number} of {runs}: {}",
                     shown.join(", ")
                 );
             }
--- a/lab/src/capacity/figures.rs
+++ b/lab/src/capacity/figures.rs
@@ -1,18 +1,18 @@
-//! Collects the values of a slope's figures, run by run.
+//! Collects the values of a slope's figures over its runs.
 
 use super::record::{Figure, Point};
 
-/// Figures under way.
+/// The figures collected so far.
 #[derive(Clone, Debug, Default)]
 pub struct Figures(Vec<Figure>);
 
 impl Figures {
-    /// Adds a measured value at a size.
+    /// Adds a measured value, which may differ between runs.
     pub fn measured(&mut self, name: &str, unit: &str, size: f64, value: f64) {
         self.add(name, unit, false, size, value);
     }
 
-    /// Adds a count at a size, which each run gives alike.
+    /// Adds a deterministic count, which is equal in every run.
     pub fn counted(&mut self, name: &str, unit: &str, size: f64, value: f64) {
         self.add(name, unit, true, size, value);
     }
@@ -36,7 +36,7 @@
         points.sort_by(|a, b| a.size.total_cmp(&b.size));
     }
 
-    /// All figures, in the order in which they were first added.
+    /// Returns all figures, in the order in which they were first added.
     pub fn done(self) -> Vec<Figure> {
         self.0
     }
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -1,38 +1,42 @@
-//! How a figure grows: a shape fitted by weighted least squares, with 95% intervals.
+//! Fits a shape of growth to a figure by weighted least squares, with 95% intervals.
 //!
-//! **Scale.** A run's error grows with what it measures, and sizes span three orders of magnitude. Least squares on the
-//! raw values would be ruled by the largest sizes alone, so each residual is divided by the median at its size: what
-//! is least is the sum of squared relative errors. Medians under a thousandth of the largest count as that much.
+//! **Scale.** A run's error grows with the measured value, and sizes span three orders of magnitude. Least
+//! squares on the raw values would be dominated by the largest sizes, so each residual is divided by the
+//! median at its size: the fit minimises the sum of squared relative errors. A median below a thousandth of
+//! the largest median is raised to that.
 //!
-//! **Shape.** The one with the least Bayesian information criterion, but a simpler shape within [`CLEARLY_BETTER`] of
-//! that is preferred. (The corrected Akaike criterion is not defined for as few values as a slope may have.)
+//! **Shape.** The shape with the lowest Bayesian information criterion is chosen, but a simpler shape within
+//! [`CRITERION_MARGIN`] of the lowest is preferred. (The corrected Akaike criterion is not defined for as few
+//! values as a slope may have.)
 //!
-//! **Error.** What the repeats and the shape leave over together; where an F test says that the sizes scatter about the
-//! shape by more than the repeats explain, the scatter of the sizes alone, so that repeats of the same runs do not
-//! make a shape that fits badly look certain. Quantiles are Student's t for the degrees of freedom of that error.
+//! **Error.** The error pools the scatter of the repeats at each size and the scatter of the sizes about the
+//! shape. Where an F test (lack of fit) finds that the sizes scatter by more than the repeats explain, the
+//! scatter of the sizes alone is used; otherwise many repeats would make a badly fitting shape look certain.
+//! Quantiles are Student's t for the degrees of freedom of that error.
 
 use super::record::{Estimate, Figure, Fit, HeldOut, Point, Shape};
 use nalgebra::{Cholesky, DMatrix, DVector, Dyn};
 use statrs::distribution::{ContinuousCDF, FisherSnedecor, StudentsT};
 use thiserror::Error;
 
-/// The sizes that a fit needs, with the one that is held out.
-pub const SIZES_NEEDED: usize = 5;
+/// The fewest sizes that can be fitted, including the one that is held out.
+pub const MIN_SIZES: usize = 5;
 
-/// How much lower the criterion of a less simple shape must be: "positive evidence" by Kass and Raftery (1995).
-pub const CLEARLY_BETTER: f64 = 2.0;
+/// A more complex shape is chosen only if its criterion is lower by more than this: the threshold of
+/// "positive evidence" in Kass and Raftery (1995).
+pub const CRITERION_MARGIN: f64 = 2.0;
 
-/// The probability that an interval covers.
+/// The coverage probability of the intervals.
 const CONFIDENCE: f64 = 0.95;
 
-/// The significance at which the sizes count as scattering by more than the repeats explain.
-const LACK_OF_FIT: f64 = 0.05;
+/// The significance level of the F test for lack of fit.
+const LACK_OF_FIT_SIGNIFICANCE: f64 = 0.05;
 
-/// The least scale of a size, as a share of the largest size's.
-const LEAST_SCALE: f64 = 1e-3;
+/// The lower bound of the scale at a size, as a share of the largest scale.
+const MIN_RELATIVE_SCALE: f64 = 1e-3;
 
-/// The relative error under which a shape counts as exact; rounding stays below it.
-const EXACT: f64 = 1e-9;
+/// Relative errors below this count as zero; rounding errors stay below it.
+const EXACT_TOLERANCE: f64 = 1e-9;
 
 /// All shapes, the simplest first.
 const SHAPES: [Shape; 4] = [Shape::Constant, Shape::Linear, Shape::NLogN, Shape::Square];
@@ -40,22 +44,22 @@
 /// Why a figure cannot be fitted.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum FitError {
-    /// There are too few sizes.
-    #[error("{figure}: {has} sizes, where a fit needs {SIZES_NEEDED} with the one that is held out")]
+    /// The figure has too few sizes.
+    #[error("{figure}: {has} sizes are too few; a fit needs {MIN_SIZES}, including the held-out one")]
     TooFewSizes {
         /// The figure.
         figure: String,
-        /// The sizes that it has.
+        /// The number of sizes that it has.
         has: usize,
     },
-    /// The sizes are not numbers from 0 on in ascending order.
-    #[error("{figure}: sizes must be 0 or more and ascend")]
+    /// The sizes are negative, not finite or not in ascending order.
+    #[error("{figure}: sizes must be finite, not negative, and in ascending order")]
     SizesOutOfOrder {
         /// The figure.
         figure: String,
     },
-    /// A size has no value, or one that is not a finite number.
-    #[error("{figure}: the values at size {size} are none, or not finite")]
+    /// A size has no values, or a value that is not finite.
+    #[error("{figure}: size {size} has no values, or a value that is not finite")]
     NotFinite {
         /// The figure.
         figure: String,
@@ -64,35 +68,35 @@
     },
 }
 
-/// A shape fitted to a figure, which can be asked for any size.
+/// A shape fitted to a figure, which predicts the value at any size.
 #[derive(Clone, Debug)]
 pub struct Model {
     shape: Shape,
-    /// The largest size that was fitted; the shape is 1 there, which keeps the matrix well scaled.
+    /// The largest fitted size. Shapes are normalised to 1 there, which keeps the matrix well conditioned.
     unit: f64,
     coefficients: DVector<f64>,
-    /// The coefficients' covariance for an error of 1.
+    /// The covariance of the coefficients for a standard error of 1.
     covariance: DMatrix<f64>,
     /// The relative standard error of one run.
     error: f64,
-    /// Student's t at the bounds of an interval.
+    /// The quantile of Student's t at the bounds of an interval.
     quantile: f64,
-    /// The least scale of a prediction.
-    least_scale: f64,
+    /// The lower bound of the scale of a prediction's error.
+    min_scale: f64,
     criterion: f64,
 }
 
 impl Figure {
-    /// Fits all sizes but the largest, and notes how far off the prediction for that one is.
+    /// Fits all sizes but the largest, and stores the fit with the error of its prediction for the largest.
     ///
     /// # Errors
-    /// If there are too few sizes, or values that cannot be fitted; the figure is left as it was.
+    /// If there are too few sizes, or values that cannot be fitted; the figure is then unchanged.
     pub fn fit(&mut self) -> Result<(), FitError> {
         let model = Model::of(self)?;
         let Some(largest) = self.points.last() else { return Ok(()) };
         let predicted = model.predict(largest.size);
         let measured = largest.median();
-        let off_by = share_off(predicted.value, measured);
+        let off_by = relative_error(predicted.value, measured);
         let held_out = HeldOut { size: largest.size, predicted, measured, off_by };
         self.fit =
             Some(Fit { shape: model.shape, intercept: model.intercept(), slope: model.slope(), held_out });
@@ -110,53 +114,56 @@
         let fitted = &figure.points[..figure.points.len() - 1];
         let models: Vec<Model> = SHAPES.iter().filter_map(|&shape| fit_shape(shape, fitted)).collect();
         let least = models.iter().map(|model| model.criterion).fold(f64::INFINITY, f64::min);
-        let simplest = models.into_iter().find(|model| model.criterion <= least + CLEARLY_BETTER);
+        let simplest = models.into_iter().find(|model| model.criterion <= least + CRITERION_MARGIN);
         simplest
             .ok_or_else(|| FitError::TooFewSizes { figure: figure.name.clone(), has: figure.points.len() })
     }
 
-    /// The shape that was chosen.
+    /// The chosen shape.
     pub fn shape(&self) -> Shape {
         self.shape
     }
 
-    /// What one run at a size is predicted to give, with the 95% interval of such a prediction.
+    /// The predicted value of a single run at a size, with its 95% prediction interval.
     pub fn predict(&self, size: f64) -> Estimate {
-        let row = row(self.shape, size, self.unit);
-        let value = row.dot(&self.coefficients);
-        let scale = value.abs().max(self.least_scale);
-        let variance = self.variance(&row) + (self.error * scale).powi(2);
-        around(value, self.quantile * variance.sqrt())
+        let design_row = design_row(self.shape, size, self.unit);
+        let value = design_row.dot(&self.coefficients);
+        let scale = value.abs().max(self.min_scale);
+        let variance = self.variance(&design_row) + (self.error * scale).powi(2);
+        symmetric_interval(value, self.quantile * variance.sqrt())
     }
 
-    /// The part that does not grow.
+    /// The constant term.
     pub fn intercept(&self) -> Estimate {
         self.coefficient(0, 1.0)
     }
 
-    /// The part for each unit of the shape; none for a constant.
+    /// The coefficient of the shape; `None` for a constant.
     pub fn slope(&self) -> Option<Estimate> {
-        (self.shape != Shape::Constant).then(|| self.coefficient(1, grown(self.shape, self.unit)))
+        (self.shape != Shape::Constant).then(|| self.coefficient(1, shape_value(self.shape, self.unit)))
     }
 
     fn coefficient(&self, index: usize, unit: f64) -> Estimate {
-        let mut row = DVector::zeros(self.coefficients.len());
-        row[index] = 1.0 / unit;
-        around(row.dot(&self.coefficients), self.quantile * self.variance(&row).sqrt())
+        let mut design_row = DVector::zeros(self.coefficients.len());
+        design_row[index] = 1.0 / unit;
+        symmetric_interval(
+            design_row.dot(&self.coefficients),
+            self.quantile * self.variance(&design_row).sqrt(),
+        )
     }
 
-    /// The variance of a combination of the coefficients.
-    fn variance(&self, row: &DVector<f64>) -> f64 {
-        let variance = (row.transpose() * &self.covariance * row)[(0, 0)];
+    /// The variance of a linear combination of the coefficients.
+    fn variance(&self, design_row: &DVector<f64>) -> f64 {
+        let variance = (design_row.transpose() * &self.covariance * design_row)[(0, 0)];
         variance.max(0.0) * self.error.powi(2)
     }
 }
 
-/// Whether a figure can be fitted.
+/// Checks that a figure can be fitted.
 fn check(figure: &Figure) -> Result<(), FitError> {
     let named = || figure.name.clone();
     let sizes: Vec<f64> = figure.points.iter().map(|point| point.size).collect();
-    if sizes.len() < SIZES_NEEDED {
+    if sizes.len() < MIN_SIZES {
         return Err(FitError::TooFewSizes { figure: named(), has: sizes.len() });
     }
     let ascending = sizes.windows(2).all(|pair| pair[0] < pair[1]);
@@ -171,137 +178,140 @@
     }
 }
 
-/// Fits one shape; none if the sizes do not tell its coefficients apart.
+/// Fits one shape; `None` if the sizes do not determine its coefficients.
 fn fit_shape(shape: Shape, points: &[Point]) -> Option<Model> {
     let unit = points.last()?.size;
     let scales = scales(points);
-    let rows: Vec<DVector<f64>> = points.iter().map(|point| row(shape, point.size, unit)).collect();
+    let rows: Vec<DVector<f64>> = points.iter().map(|point| design_row(shape, point.size, unit)).collect();
     let values: usize = points.iter().map(|point| point.values.len()).sum();
     let coefficients = rows[0].len();
 
     let mut matrix = DMatrix::zeros(values, coefficients);
-    let mut wanted = DVector::zeros(values);
+    let mut target = DVector::zeros(values);
     let each =
         points.iter().enumerate().flat_map(|(at, point)| point.values.iter().map(move |value| (at, *value)));
     for (index, (at, value)) in each.enumerate() {
         matrix.set_row(index, &(rows[at].transpose() / scales[at]));
-        wanted[index] = value / scales[at];
+        target[index] = value / scales[at];
     }
 
     let normal: Cholesky<f64, Dyn> = (matrix.transpose() * &matrix).cholesky()?;
-    let solved = normal.solve(&(matrix.transpose() * &wanted));
-    let predicted: Vec<f64> = rows.iter().map(|row| row.dot(&solved)).collect();
-    let errors = Errors::of(points, &scales, &predicted, coefficients);
+    let solution = normal.solve(&(matrix.transpose() * &target));
+    let predicted: Vec<f64> = rows.iter().map(|design_row| design_row.dot(&solution)).collect();
+    let errors = ResidualSums::of(points, &scales, &predicted, coefficients);
     let (error, quantile) = errors.error_and_quantile()?;
-    let least_scale = scales.iter().copied().fold(f64::INFINITY, f64::min);
+    let min_scale = scales.iter().copied().fold(f64::INFINITY, f64::min);
     let criterion = errors.criterion(coefficients);
     Some(Model {
         shape,
         unit,
-        coefficients: solved,
+        coefficients: solution,
         covariance: normal.inverse(),
         error,
         quantile,
-        least_scale,
+        min_scale,
         criterion,
     })
 }
 
-/// What a shape leaves over, as sums of squared relative errors.
-struct Errors {
-    /// Of the repeats about the mean at their size.
+/// The residuals of a fitted shape, as sums of squared relative errors.
+struct ResidualSums {
+    /// Scatter of the repeats about the mean at their size.
     repeats: f64,
-    /// Of these means about the shape.
+    /// Scatter of these means about the shape.
     sizes: f64,
     /// Degrees of freedom of the repeats.
-    repeats_free: f64,
+    repeats_dof: f64,
     /// Degrees of freedom of the means.
-    sizes_free: f64,
-    /// The count of values.
+    sizes_dof: f64,
+    /// The number of values.
     values: f64,
 }
 
-impl Errors {
-    fn of(points: &[Point], scales: &[f64], predicted: &[f64], coefficients: usize) -> Errors {
-        let mut errors = Errors { repeats: 0.0, sizes: 0.0, repeats_free: 0.0, sizes_free: 0.0, values: 0.0 };
+impl ResidualSums {
+    fn of(points: &[Point], scales: &[f64], predicted: &[f64], coefficients: usize) -> ResidualSums {
+        let mut errors =
+            ResidualSums { repeats: 0.0, sizes: 0.0, repeats_dof: 0.0, sizes_dof: 0.0, values: 0.0 };
         for ((point, scale), predicted) in points.iter().zip(scales).zip(predicted) {
             let count = point.values.len() as f64;
             let mean = point.values.iter().sum::<f64>() / count;
             errors.repeats += point.values.iter().map(|value| ((value - mean) / scale).powi(2)).sum::<f64>();
             errors.sizes += count * ((mean - predicted) / scale).powi(2);
-            errors.repeats_free += count - 1.0;
+            errors.repeats_dof += count - 1.0;
             errors.values += count;
         }
-        errors.sizes_free = points.len() as f64 - coefficients as f64;
+        errors.sizes_dof = points.len() as f64 - coefficients as f64;
         errors
     }
 
-    /// The Bayesian information criterion; all shapes that are exact count as equally exact.
+    /// The Bayesian information criterion. Errors below [`EXACT_TOLERANCE`] are raised to it, so that
+    /// rounding does not decide between shapes that all fit exactly.
     fn criterion(&self, coefficients: usize) -> f64 {
-        let mean = ((self.repeats + self.sizes) / self.values).max(EXACT.powi(2));
+        let mean = ((self.repeats + self.sizes) / self.values).max(EXACT_TOLERANCE.powi(2));
         self.values * mean.ln() + coefficients as f64 * self.values.ln()
     }
 
-    /// The relative standard error of one run, and Student's t for its degrees of freedom.
+    /// The relative standard error of one run, and the quantile of Student's t for its degrees of freedom.
     fn error_and_quantile(&self) -> Option<(f64, f64)> {
-        let together_free = self.repeats_free + self.sizes_free;
-        let (sum, free) = match self.sizes_scatter_more() {
-            true => (self.sizes, self.sizes_free),
-            false => (self.repeats + self.sizes, together_free),
+        let pooled_dof = self.repeats_dof + self.sizes_dof;
+        let (sum, dof) = match self.lacks_fit() {
+            true => (self.sizes, self.sizes_dof),
+            false => (self.repeats + self.sizes, pooled_dof),
         };
-        let error = (sum / free).sqrt();
-        let student = StudentsT::new(0.0, 1.0, free).ok()?;
+        let error = (sum / dof).sqrt();
+        let student = StudentsT::new(0.0, 1.0, dof).ok()?;
         let quantile = student.inverse_cdf((1.0 + CONFIDENCE) / 2.0);
-        Some((if error < EXACT { 0.0 } else { error }, quantile))
+        Some((if error < EXACT_TOLERANCE { 0.0 } else { error }, quantile))
     }
 
-    /// Whether the sizes scatter about the shape by more than the repeats explain (an F test).
-    fn sizes_scatter_more(&self) -> bool {
-        if self.repeats_free == 0.0 {
+    /// Whether the sizes scatter about the shape by more than the repeats explain (F test for lack of fit).
+    fn lacks_fit(&self) -> bool {
+        if self.repeats_dof == 0.0 {
             return false;
         }
-        let repeats = self.repeats / self.repeats_free;
-        let sizes = self.sizes / self.sizes_free;
-        if repeats < EXACT.powi(2) {
-            return sizes >= EXACT.powi(2);
+        let repeats = self.repeats / self.repeats_dof;
+        let sizes = self.sizes / self.sizes_dof;
+        if repeats < EXACT_TOLERANCE.powi(2) {
+            return sizes >= EXACT_TOLERANCE.powi(2);
         }
-        let spread = FisherSnedecor::new(self.sizes_free, self.repeats_free);
-        spread.is_ok_and(|spread| spread.cdf(sizes / repeats) > 1.0 - LACK_OF_FIT)
+        let spread = FisherSnedecor::new(self.sizes_dof, self.repeats_dof);
+        spread.is_ok_and(|spread| spread.cdf(sizes / repeats) > 1.0 - LACK_OF_FIT_SIGNIFICANCE)
     }
 }
 
-/// The scale of the error at each size.
+/// The scale by which the residuals at each size are divided.
 fn scales(points: &[Point]) -> Vec<f64> {
     let medians: Vec<f64> = points.iter().map(|point| point.median().abs()).collect();
     let largest = medians.iter().copied().fold(0.0, f64::max);
     if largest == 0.0 {
         return vec![1.0; points.len()];
     }
-    medians.iter().map(|median| median.max(largest * LEAST_SCALE)).collect()
+    medians.iter().map(|median| median.max(largest * MIN_RELATIVE_SCALE)).collect()
 }
 
-/// The row of a size in the matrix.
-fn row(shape: Shape, size: f64, unit: f64) -> DVector<f64> {
+/// The row of the design matrix for a size.
+fn design_row(shape: Shape, size: f64, unit: f64) -> DVector<f64> {
     match shape {
         Shape::Constant => DVector::from_element(1, 1.0),
-        _ => DVector::from_vec(vec![1.0, grown(shape, size) / grown(shape, unit)]),
+        _ => DVector::from_vec(vec![1.0, shape_value(shape, size) / shape_value(shape, unit)]),
     }
 }
 
-/// What a shape is at a size.
-fn grown(shape: Shape, size: f64) -> f64 {
+/// The value of a shape at a size.
+fn shape_value(shape: Shape, size: f64) -> f64 {
     match shape {
         Shape::Constant => 1.0,
         Shape::Linear => size,
-        // What it tends to at 0.
+        // The limit at 0, where the logarithm is not defined.
         Shape::NLogN if size == 0.0 => 0.0,
         Shape::NLogN => size * size.ln(),
         Shape::Square => size * size,
     }
 }
 
-/// How far a prediction is off, as a share of what was measured; wholly, where nothing was and something was predicted.
-fn share_off(predicted: f64, measured: f64) -> f64 {
+/// The error of a prediction as a share of the measured value; 1 where that is zero and the prediction is
+/// not.
+fn relative_error(predicted: f64, measured: f64) -> f64 {
     match (predicted - measured).abs() {
         0.0 => 0.0,
         _ if measured == 0.0 => 1.0,
@@ -309,8 +319,8 @@
     }
 }
 
-fn around(value: f64, half: f64) -> Estimate {
-    Estimate { value, low: value - half, high: value + half }
+fn symmetric_interval(value: f64, half_width: f64) -> Estimate {
+    Estimate { value, low: value - half_width, high: value + half_width }
 }
 
 #[cfg(test)]
--- a/lab/src/capacity/ladder/tests.rs
+++ b/lab/src/capacity/ladder/tests.rs
@@ -1,4 +1,4 @@
-//! Guards the records: a count that differs between runs is an error, and times are kept one a run.
+//! A count that differs between runs is an error, and the record contains one time for each run.
 
 use super::*;
 use crate::capacity::record::Run;
@@ -38,7 +38,7 @@
 #[test]
 fn a_count_that_differs_between_runs_is_an_error() {
     let error = ladder(drifting).measure(&options()).expect_err("the count differs");
-    assert!(error.to_string().contains("count is 2 where it was [1.0]"), "{error}");
+    assert!(error.to_string().contains("count is 2, but was [1.0] in an earlier run"), "{error}");
 }
 
 #[test]
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,5 +1,11 @@
-//! Scale tests: what each part of a planner costs as one size grows and the others stand still. Each slope is a module
-//! of its own, measures the real code, and writes one [`record::Slope`] as JSON under `docs/capacity/`.
+//! Scale tests: measure what each part of a planner costs as one size (machines, tasks, planners ...) grows
+//! while all other sizes are constant.
+//!
+//! One such series of measurements is called a slope. Slopes measure the real code and write one
+//! [`record::Slope`] each, as JSON under `docs/capacity/`. What surrounds the measured code may be a
+//! lightweight stand-in, which is called hollow: machines that answer the protocol but run nothing, or a
+//! planner without sockets on a simulated clock. [`page`] writes the tables of `docs/CAPACITY.md` from these
+//! records.
 
 pub mod admission;
 pub mod ask_rate;
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -1,4 +1,4 @@
-//! The tables of `docs/CAPACITY.md`, written from the records and from nothing else.
+//! Generates the tables of `docs/CAPACITY.md` from the committed records alone.
 
 pub mod comparison;
 pub mod number;
@@ -15,15 +15,15 @@
 
 /// The page, relative to the root of the repository.
 pub const PAGE: &str = "docs/CAPACITY.md";
-/// The line before the tables.
+/// The marker line before the tables.
 pub const BEGIN: &str = "<!-- tables: begin, written by burlhook-lab capacity page -->";
-/// The line after the tables.
+/// The marker line after the tables.
 pub const END: &str = "<!-- tables: end -->";
 
-/// What stands where there is no record.
+/// The text shown where there is no record.
 const NOT_MEASURED: &str = "not measured";
 
-/// Why the tables cannot be written, or are not what they should be.
+/// Why the tables cannot be written, or are out of date.
 #[derive(Debug, Error)]
 pub enum PageError {
     /// A file cannot be read or written.
@@ -31,60 +31,60 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The cause.
         why: io::Error,
     },
-    /// A marker is missing, or they stand the wrong way round.
-    #[error("{PAGE} needs the line {BEGIN:?} and after it the line {END:?}")]
+    /// A marker is missing, or the markers are in the wrong order.
+    #[error("{PAGE} must contain the line {BEGIN:?} and, after it, the line {END:?}")]
     Markers,
-    /// A row reads a figure that its record does not have.
+    /// A row refers to a figure that its record does not contain.
     #[error("the record {slope} has no figure {figure:?}; it has: {known}")]
     UnknownFigure {
         /// The record.
         slope: String,
-        /// What is wanted.
+        /// The requested figure.
         figure: String,
-        /// What there is.
+        /// The names of the figures that the record contains.
         known: String,
     },
-    /// A figure has no value at all.
-    #[error("the record {slope} has no value of {figure:?}")]
+    /// A figure has no values at any size.
+    #[error("the record {slope} has no values for {figure:?}")]
     NoPoints {
         /// The record.
         slope: String,
         /// The figure.
         figure: String,
     },
-    /// A record's fit is not that of its points.
-    #[error("the record {slope}: the fit of {figure:?} is not that of its points; run `burlhook-lab capacity fit`")]
+    /// The stored fit differs from a fit of the stored points.
+    #[error("record {slope}: the fit of {figure:?} is stale; run `burlhook-lab capacity fit`")]
     OtherFit {
         /// The record.
         slope: String,
         /// The figure.
         figure: String,
     },
-    /// The tables of the page are not those of the records.
+    /// The tables in the page differ from those generated from the records.
     #[error("{PAGE} line {line} differs from the records; run `burlhook-lab capacity page`\n  page:    {page}\n  records: {records}")]
     Differs {
         /// The first line that differs.
         line: usize,
-        /// What the page says there.
+        /// The line in the page.
         page: String,
-        /// What the records give.
+        /// The line generated from the records.
         records: String,
     },
-    /// A prediction is off by over a fifth, and nothing says why.
-    #[error("lab/src/capacity/reasons.rs lacks why the prediction was over 20% off for: {figures}")]
+    /// A prediction is off by more than 20%, and no reason is given for it.
+    #[error("predictions off by more than 20% without a reason in lab/src/capacity/reasons.rs: {figures}")]
     NoReason {
-        /// The figures, by their records.
+        /// The figures, each with its record.
         figures: String,
     },
 }
 
-/// Reads all records under a root; no folder is no record.
+/// Reads all records under a root; a missing folder counts as empty.
 ///
 /// # Errors
-/// If a file cannot be read or is no record.
+/// If a file cannot be read or is not a record.
 pub fn records(root: &Path) -> Result<Records, PageError> {
     let folder = root.join(RECORDS);
     let failed = |path: &Path| {
@@ -111,33 +111,33 @@
     serde_json::from_slice(&std::fs::read(path)?).map_err(io::Error::other)
 }
 
-/// The tables.
+/// Generates the tables.
 ///
 /// # Errors
-/// If a record lacks a figure that a row reads, or has a fit that is not that of its points.
+/// If a record lacks a figure that a row refers to, or contains a fit that does not match its points.
 pub fn render(records: &Records) -> Result<String, PageError> {
-    check_fits(records)?;
+    check_stored_fits(records)?;
     tables::all(records)
 }
 
 /// Writes the tables into the page.
 ///
 /// # Errors
-/// If they cannot be made, or the page lacks its markers.
+/// If the tables cannot be generated, or the page lacks its markers.
 pub fn write(root: &Path) -> Result<(), PageError> {
     let (path, text) = read(root)?;
-    let (before, _, after) = parts(&text)?;
+    let (before, _, after) = split_at_markers(&text)?;
     let tables = render(&records(root)?)?;
     std::fs::write(&path, format!("{before}{tables}{after}")).map_err(|why| PageError::File { path, why })
 }
 
-/// Holds the page against the records.
+/// Checks that the page is up to date with the records.
 ///
 /// # Errors
-/// If they differ, or a prediction was far off and nothing says why.
+/// If they differ, or a prediction is off by more than 20% and no reason is given for it.
 pub fn check(root: &Path) -> Result<(), PageError> {
     let (_, text) = read(root)?;
-    let (before, page, _) = parts(&text)?;
+    let (before, page, _) = split_at_markers(&text)?;
     let records = records(root)?;
     let tables = render(&records)?;
     if page != tables {
@@ -150,7 +150,7 @@
     }
 }
 
-/// Fits all figures of all records that have sizes enough, and writes the records.
+/// Fits all figures that have enough sizes, in all records, and writes the records.
 ///
 /// # Errors
 /// If a record cannot be read or written.
@@ -159,7 +159,7 @@
         for figure in &mut slope.figures {
             figure.fit = None;
             if let Err(why) = figure.fit() {
-                eprintln!("{}: no fit: {why}", slope.name);
+                eprintln!("{}: not fitted: {why}", slope.name);
             }
         }
         let path = Slope::path(root, &slope.name);
@@ -176,8 +176,8 @@
     }
 }
 
-/// The page up to its tables with the first marker, the tables, and the rest.
-fn parts(text: &str) -> Result<(&str, &str, &str), PageError> {
+/// Splits the page into the text up to and including the first marker, the tables, and the rest.
+fn split_at_markers(text: &str) -> Result<(&str, &str, &str), PageError> {
     let begin = text.find(BEGIN).ok_or(PageError::Markers)? + BEGIN.len() + 1;
     let end = text.find(END).filter(|end| *end >= begin).ok_or(PageError::Markers)?;
     Ok((&text[..begin], &text[begin..end], &text[end..]))
@@ -190,27 +190,27 @@
         line += 1;
         let pair = (page.next(), records.next());
         if pair.0 != pair.1 || pair == (None, None) {
-            let told = |line: Option<&str>| line.unwrap_or("(nothing)").to_string();
-            return PageError::Differs { line, page: told(pair.0), records: told(pair.1) };
+            let shown = |line: Option<&str>| line.unwrap_or("(nothing)").to_string();
+            return PageError::Differs { line, page: shown(pair.0), records: shown(pair.1) };
         }
     }
 }
 
-/// Each record's fits are those of its points: nobody edited one of the two.
-fn check_fits(records: &Records) -> Result<(), PageError> {
+/// Checks that each stored fit matches its points, so that neither was edited without the other.
+fn check_stored_fits(records: &Records) -> Result<(), PageError> {
     for (slope, figure) in
         records.slopes.values().flat_map(|slope| slope.figures.iter().map(move |f| (slope, f)))
     {
-        let mut again = figure.clone();
-        again.fit = None;
-        // A figure with too few sizes has no fit, which is what is compared.
-        let _ = again.fit();
-        let alike = match (&figure.fit, &again.fit) {
+        let mut refitted = figure.clone();
+        refitted.fit = None;
+        // A figure that cannot be fitted must be stored without a fit, so the error needs no handling here.
+        let _ = refitted.fit();
+        let same = match (&figure.fit, &refitted.fit) {
             (None, None) => true,
-            (Some(stored), Some(again)) => stored.agrees(again),
+            (Some(stored), Some(refitted)) => stored.agrees(refitted),
             _ => false,
         };
-        if !alike {
+        if !same {
             return Err(PageError::OtherFit { slope: slope.name.clone(), figure: figure.name.clone() });
         }
     }
--- a/lab/src/capacity/page/comparison.rs
+++ b/lab/src/capacity/page/comparison.rs
@@ -1,14 +1,14 @@
-//! Two programs side by side, as the page shows them.
+//! The table that compares two versions of the program.
 
-use super::number::{head, line, number, percent, whole};
+use super::number::{all_digits, head, line, number, percent};
 use super::NOT_MEASURED;
 use crate::capacity::compare::Comparison;
 use crate::capacity::record::Point;
 
-/// The record, relative to the page.
+/// The path of the record, relative to the page.
 const LINK: &str = "capacity/compare.json";
 
-/// The table: a line for each figure, a column for each size.
+/// Generates the table: one line per figure, one column per size.
 pub fn table(comparison: Option<&Comparison>) -> String {
     let Some(comparison) = comparison else { return format!("{NOT_MEASURED}\n") };
     let commits = comparison.commits.join(" and ");
@@ -19,14 +19,14 @@
          of the room spare, {} descriptors, {} planners told of ({}, {}).\n\n",
         number(comparison.rate),
         percent(comparison.spare),
-        whole(f64::from(setting.sockets)),
-        whole(setting.listed as f64),
+        all_digits(f64::from(setting.sockets)),
+        all_digits(setting.listed as f64),
         run.date,
         run.machine
     );
     let sizes = sizes(comparison);
     let names: Vec<String> =
-        std::iter::once("figure".into()).chain(sizes.iter().map(|size| whole(*size))).collect();
+        std::iter::once("figure".into()).chain(sizes.iter().map(|size| all_digits(*size))).collect();
     text += &head(&names.iter().map(String::as_str).collect::<Vec<_>>());
     for figure in &comparison.figures {
         let name = format!("{}, {}", figure.name, figure.unit);
--- a/lab/src/capacity/page/number.rs
+++ b/lab/src/capacity/page/number.rs
@@ -1,14 +1,14 @@
-//! Numbers as the page writes them.
+//! Formats numbers and table lines for the page.
 
 use crate::capacity::record::Estimate;
 
-/// Digits that are written of a number under 1,000.
+/// The number of significant digits shown.
 const DIGITS: i32 = 3;
 
-/// The share below which there is nothing but rounding.
+/// A share below this is a rounding error and is shown as zero.
 const ROUNDING: f64 = 1e-9;
 
-/// A number with three digits, and with commas from 1,000 on.
+/// Formats a number with [`DIGITS`] significant digits, and with thousands separators from 1,000 on.
 pub fn number(value: f64) -> String {
     if !value.is_finite() {
         return "none".into();
@@ -30,8 +30,8 @@
     }
 }
 
-/// A size or a bound: all digits of a whole number.
-pub fn whole(value: f64) -> String {
+/// Formats a size or a bound: an integer with all its digits, any other value like [`number`].
+pub fn all_digits(value: f64) -> String {
     match value.is_finite() && value.fract() == 0.0 {
         true => with_commas(value),
         false => number(value),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A value with its interval.
+/// Formats a value with its interval.
 pub fn interval(estimate: Estimate) -> String {
     let Estimate { value, low, high } = estimate;
     match low == high {
@@ -63,7 +63,7 @@
     }
 }
 
-/// A share in hundredths; what is left of a computation that gives none is none.
+/// Formats a share as a percentage; a share that is only a rounding error is shown as 0%.
 pub fn percent(share: f64) -> String {
     if share.abs() < ROUNDING {
         return "0%".into();
@@ -71,12 +71,12 @@
     format!("{}%", number(share * 100.0))
 }
 
-/// A line of a table.
+/// Formats a line of a table.
 pub fn line(cells: &[String]) -> String {
     format!("| {} |\n", cells.join(" | "))
 }
 
-/// The two first lines of a table.
+/// Formats the header of a table and the rule below it.
 pub fn head(names: &[&str]) -> String {
     let names: Vec<String> = names.iter().map(|name| name.to_string()).collect();
     let rule: Vec<String> = names.iter().map(|_| "---".to_string()).collect();
--- a/lab/src/capacity/page/planners.rs
+++ b/lab/src/capacity/page/planners.rs
@@ -1,179 +1,191 @@
-//! How many planners the size needs, from what one of them serves and what its control costs, against the machines that
-//! it sees.
+//! Computes how many planners the target size needs: from the load that one planner can serve and the cost of
+//! its control work, both as functions of the number of machines that it handles.
 
-use super::number::{head, line, number, percent, whole};
+use super::number::{all_digits, head, line, number, percent};
 use super::reading::{Reading, Records, Source};
 use super::{PageError, NOT_MEASURED};
 use crate::capacity::record::Point;
 use crate::capacity::targets::{self, assumed, control, program};
 
-const ASK: Reading = Reading {
+const REQUEST: Reading = Reading {
     slope: "ask-machines",
     figure: "processor time an ask, without rest",
-    plus: None,
-    times: 1.0,
-    times_size: false,
+    added_figure: None,
+    multiplier: 1.0,
+    multiplied_by_size: false,
     unit: "ms",
 };
 const REST: Reading = Reading {
     slope: "rest-machines",
     figure: "processor time at rest",
-    plus: None,
-    times: 1.0,
-    times_size: false,
+    added_figure: None,
+    multiplier: 1.0,
+    multiplied_by_size: false,
     unit: "share",
 };
 const MEMORY: Reading = Reading {
     slope: "rest-machines",
     figure: "resident memory",
-    plus: None,
-    times: 1.0 / KIB_IN_MB,
-    times_size: false,
+    added_figure: None,
+    multiplier: 1.0 / KIB_IN_MB,
+    multiplied_by_size: false,
     unit: "MB",
 };
 const BYTES: Reading = Reading {
     slope: "rest-machines",
     figure: "bytes in at rest",
-    plus: Some("bytes out at rest"),
-    times: 1.0,
-    times_size: false,
+    added_figure: Some("bytes out at rest"),
+    multiplier: 1.0,
+    multiplied_by_size: false,
     unit: "bytes/s",
 };
 
-/// Whether a planner kept up with a rate of asks: 1 or 0.
+/// Whether a planner kept up with a rate of requests: 1 or 0.
 const KEPT_UP: Reading = Reading {
     slope: "ask-rate",
     figure: "kept up",
-    plus: None,
-    times: 1.0,
-    times_size: false,
+    added_figure: None,
+    multiplier: 1.0,
+    multiplied_by_size: false,
     unit: "share",
 };
 
-/// All figures that the counts follow from.
-pub const READINGS: [Reading; 4] = [ASK, REST, MEMORY, BYTES];
+/// All figures from which the numbers of planners are computed.
+pub const READINGS: [Reading; 4] = [REQUEST, REST, MEMORY, BYTES];
 
-/// KiB of a megabyte.
+/// KiB in a megabyte.
 const KIB_IN_MB: f64 = 1024.0;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
 
-/// Which machines a planner sees.
+/// Which machines a planner handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum View {
     /// All of them.
-    Whole,
-    /// Its part, where each machine is served by so many planners.
-    Part {
-        /// That many.
+    AllMachines,
+    /// A part of them, such that each machine is handled by a fixed number of planners.
+    PartOfMachines {
+        /// The number of planners for each machine.
         replicas: usize,
     },
 }
 
-/// The views that the page compares; the last rows of the page use [`CHOSEN`].
-const VIEWS: [View; 3] = [View::Whole, View::Part { replicas: 2 }, View::Part { replicas: 3 }];
-/// The view from which the rows take the number of planners.
-const CHOSEN: View = View::Part { replicas: 2 };
+/// The views that the page compares.
+const VIEWS: [View; 3] =
+    [View::AllMachines, View::PartOfMachines { replicas: 2 }, View::PartOfMachines { replicas: 3 }];
+/// The view from which the rows of the page take the number of planners.
+const SELECTED_VIEW: View = View::PartOfMachines { replicas: 2 };
 
-/// The fewest planners that keep each bound; none where no number does.
+/// The fewest planners that keep each bound; `None` where no number of planners does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Count {
-    /// The starts of the peak.
+pub struct PlannersNeeded {
+    /// For the rate of task starts at the peak.
     pub starts: Option<usize>,
-    /// Processor time at rest.
+    /// For the bound on processor time at rest.
     pub processor: Option<usize>,
-    /// Resident memory.
+    /// For the bound on resident memory.
     pub memory: Option<usize>,
-    /// Bytes a second.
+    /// For the bound on bytes per second.
     pub bytes: Option<usize>,
 }
 
-/// How many planners the rows reckon with.
+/// The numbers of planners that the rows of the page use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Planners {
-    /// All that run.
-    pub listed: usize,
-    /// Those that are left with the zone that has the most of them lost.
-    pub without_a_zone: usize,
+pub struct PlannerCounts {
+    /// All planners.
+    pub total: usize,
+    /// The planners that remain after the loss of one zone.
+    pub after_zone_loss: usize,
 }
 
-/// What one planner costs and serves.
+/// The measured costs of one planner.
 pub struct Costs<'a> {
-    ask: Source<'a>,
+    request: Source<'a>,
     rest: Source<'a>,
     memory: Source<'a>,
     bytes: Source<'a>,
 }
 
 impl<'a> Costs<'a> {
-    /// From the records; none if one of them is missing.
+    /// Reads the costs from the records; `None` if a record is missing.
     ///
     /// # Errors
     /// If a record lacks its figure.
     pub fn read(records: &'a Records) -> Result<Option<Costs<'a>>, PageError> {
-        let sources =
-            (ASK.source(records)?, REST.source(records)?, MEMORY.source(records)?, BYTES.source(records)?);
-        let (Some(ask), Some(rest), Some(memory), Some(bytes)) = sources else { return Ok(None) };
-        Ok(Some(Costs { ask, rest, memory, bytes }))
+        let sources = (
+            REQUEST.source(records)?,
+            REST.source(records)?,
+            MEMORY.source(records)?,
+            BYTES.source(records)?,
+        );
+        let (Some(request), Some(rest), Some(memory), Some(bytes)) = sources else { return Ok(None) };
+        Ok(Some(Costs { request, rest, memory, bytes }))
     }
 
-    /// Starts a second that one planner is planned to serve; none where its rest leaves no time for any.
-    pub fn starts_of_one(&self, machines: f64) -> f64 {
-        let left = assumed::BUSY_SHARE - self.rest.at(machines).estimate.value;
-        (MS_PER_S * left / self.ask.at(machines).estimate.value).max(0.0)
+    /// The task starts per second that one planner is planned to serve; zero if its work at rest already uses
+    /// up its processor time.
+    pub fn starts_per_planner(&self, machines: f64) -> f64 {
+        let left = assumed::PLANNED_CORE_SHARE - self.rest.at(machines).estimate.value;
+        (MS_PER_S * left / self.request.at(machines).estimate.value).max(0.0)
     }
 
-    /// The fewest planners with a view that keep each bound.
-    pub fn count(&self, view: View) -> Count {
-        let value = |source: &Source<'_>, planners| source.at(machines_seen(view, planners)).estimate.value;
-        let serves = |planners| planners as f64 * self.starts_of_one(machines_seen(view, planners));
-        Count {
-            starts: fewest(view, |planners| serves(planners) >= targets::STARTS_PER_S),
-            processor: fewest(view, |planners| value(&self.rest, planners) <= control::PROCESSOR_SHARE),
-            memory: fewest(view, |planners| value(&self.memory, planners) <= control::MEMORY_MB),
-            bytes: fewest(view, |planners| value(&self.bytes, planners) <= control::BYTES_PER_S),
+    /// The fewest planners that keep each bound, under a view.
+    pub fn count(&self, view: View) -> PlannersNeeded {
+        let value =
+            |source: &Source<'_>, planners| source.at(machines_per_planner(view, planners)).estimate.value;
+        let served =
+            |planners| planners as f64 * self.starts_per_planner(machines_per_planner(view, planners));
+        PlannersNeeded {
+            starts: fewest_planners(view, |planners| served(planners) >= targets::STARTS_PER_S),
+            processor: fewest_planners(view, |planners| {
+                value(&self.rest, planners) <= control::PROCESSOR_SHARE
+            }),
+            memory: fewest_planners(view, |planners| value(&self.memory, planners) <= control::MEMORY_MB),
+            bytes: fewest_planners(view, |planners| value(&self.bytes, planners) <= control::BYTES_PER_S),
         }
     }
 
-    /// What the rows reckon with.
-    pub fn planners(&self) -> Option<Planners> {
-        let needed = self.count(CHOSEN).needed()?;
-        Some(Planners { listed: spread(needed, 1.0), without_a_zone: needed })
+    /// The numbers of planners that the rows of the page use; `None` if the peak cannot be served.
+    pub fn planners(&self) -> Option<PlannerCounts> {
+        let needed = self.count(SELECTED_VIEW).needed()?;
+        Some(PlannerCounts { total: with_spare_zones(needed, 1.0), after_zone_loss: needed })
     }
 }
 
-impl Count {
-    /// The planners that all bounds need which any number can keep; none if not even the starts can be served.
+impl PlannersNeeded {
+    /// The fewest planners that keep all bounds, leaving out bounds that no number of planners keeps; `None`
+    /// if the starts cannot be served by any number.
     pub fn needed(&self) -> Option<usize> {
-        let others = [self.processor, self.memory, self.bytes];
-        let most = others.into_iter().flatten().max().unwrap_or_default();
+        let other_bounds = [self.processor, self.memory, self.bytes];
+        let most = other_bounds.into_iter().flatten().max().unwrap_or_default();
         self.starts.map(|starts| starts.max(most))
     }
 }
 
-/// Machines that a planner sees.
-fn machines_seen(view: View, planners: usize) -> f64 {
+/// The number of machines that each planner handles.
+fn machines_per_planner(view: View, planners: usize) -> f64 {
     match view {
-        View::Whole => targets::MACHINES,
-        View::Part { replicas } => targets::MACHINES * (replicas as f64 / planners as f64).min(1.0),
+        View::AllMachines => targets::MACHINES,
+        View::PartOfMachines { replicas } => targets::MACHINES * (replicas as f64 / planners as f64).min(1.0),
     }
 }
 
-fn fewest(view: View, keeps: impl Fn(usize) -> bool) -> Option<usize> {
+fn fewest_planners(view: View, keeps_bound: impl Fn(usize) -> bool) -> Option<usize> {
     let least = match view {
-        View::Whole => 1,
-        View::Part { replicas } => replicas,
+        View::AllMachines => 1,
+        View::PartOfMachines { replicas } => replicas,
     };
-    (least..=program::PLANNERS as usize).find(|&planners| keeps(planners))
+    (least..=program::PLANNERS as usize).find(|&planners| keeps_bound(planners))
 }
 
-/// Planners in all, the same number in each zone, of which `needed` are left without so many zones.
-fn spread(needed: usize, zones_lost: f64) -> usize {
-    let in_a_zone = (needed as f64 / (targets::ZONES - zones_lost)).ceil();
-    (in_a_zone * targets::ZONES) as usize
+/// The total number of planners, equal in each zone, of which at least `needed` remain after `zones_lost`
+/// zones are lost.
+fn with_spare_zones(needed: usize, zones_lost: f64) -> usize {
+    let per_zone = (needed as f64 / (targets::ZONES - zones_lost)).ceil();
+    (per_zone * targets::ZONES) as usize
 }
 
-/// The table of the counts, with what follows from it in a sentence.
+/// Generates the table of the numbers of planners, with a summary below it.
 ///
 /// # Errors
 /// If a record lacks its figure.
@@ -196,71 +208,73 @@
     for view in VIEWS {
         text += &line(&cells(view, costs.count(view)));
     }
-    let whole = targets::MACHINES;
+    let all_machines = targets::MACHINES;
     text += &format!(
         "\nOne planner serves {} starts a second with {} machines in view, and {} with 20, at {} of its core.\n",
-        number(costs.starts_of_one(whole)),
-        number(whole),
-        number(costs.starts_of_one(20.0)),
-        percent(assumed::BUSY_SHARE),
+        number(costs.starts_per_planner(all_machines)),
+        number(all_machines),
+        number(costs.starts_per_planner(20.0)),
+        percent(assumed::PLANNED_CORE_SHARE),
     );
-    text += &greatest_rate(records)?;
+    text += &sustained_rate_text(records)?;
     if let Some(planners) = costs.planners() {
-        text += &seats(planners);
+        text += &control_machines_text(planners);
     }
     Ok(text)
 }
 
-fn cells(view: View, count: Count) -> Vec<String> {
-    let told = |planners: Option<usize>| planners.map_or("no number keeps it".into(), |n| whole(n as f64));
+fn cells(view: View, count: PlannersNeeded) -> Vec<String> {
+    let count_text =
+        |planners: Option<usize>| planners.map_or("no number keeps it".into(), |n| all_digits(n as f64));
     let name = match view {
-        View::Whole => "all machines".to_string(),
-        View::Part { replicas } => format!("its part, {replicas} planners a machine"),
+        View::AllMachines => "all machines".to_string(),
+        View::PartOfMachines { replicas } => format!("its part, {replicas} planners a machine"),
     };
     let needed = count.needed();
-    let with_zone = needed.map(|needed| spread(needed, 1.0));
-    let with_region = needed.map(|needed| spread(needed, assumed::LARGEST_REGION_ZONES));
-    let sees =
-        with_zone.map_or("".into(), |planners| format!("{} machines", number(machines_seen(view, planners))));
-    let on_each = with_zone.map(|planners| (planners as f64 / targets::CONTROL_MACHINES).ceil() as usize);
+    let with_zone = needed.map(|needed| with_spare_zones(needed, 1.0));
+    let with_region = needed.map(|needed| with_spare_zones(needed, assumed::LARGEST_REGION_ZONES));
+    let machines_text = with_zone
+        .map_or("".into(), |planners| format!("{} machines", number(machines_per_planner(view, planners))));
+    let per_control_machine =
+        with_zone.map(|planners| (planners as f64 / targets::CONTROL_MACHINES).ceil() as usize);
     let bounds = [count.starts, count.processor, count.memory, count.bytes, needed, with_zone, with_region];
-    let counts = bounds.into_iter().map(told);
-    std::iter::once(name).chain(counts).chain([sees, told(on_each)]).collect()
+    let counts = bounds.into_iter().map(count_text);
+    std::iter::once(name).chain(counts).chain([machines_text, count_text(per_control_machine)]).collect()
 }
 
-/// The greatest rate with which a planner kept up in each run.
-fn greatest_rate(records: &Records) -> Result<String, PageError> {
+/// States the highest rate with which a planner kept up in every run.
+fn sustained_rate_text(records: &Records) -> Result<String, PageError> {
     let Some(kept_up) = KEPT_UP.source(records)? else {
         return Ok(format!("\nThe greatest rate that one core serves (ask-rate): {NOT_MEASURED}.\n"));
     };
-    let in_each_run =
-        |point: &&Point| !point.values.is_empty() && point.values.iter().all(|kept| *kept == 1.0);
-    let greatest =
-        kept_up.figure.points.iter().filter(in_each_run).map(|point| point.size).fold(0.0, f64::max);
+    let in_every_run =
+        |point: &&Point| !point.values.is_empty() && point.values.iter().all(|value| *value == 1.0);
+    let highest_rate =
+        kept_up.figure.points.iter().filter(in_every_run).map(|point| point.size).fold(0.0, f64::max);
     let held: Vec<String> =
         kept_up.slope.held.iter().map(|(what, count)| format!("{what}: {}", number(*count))).collect();
     Ok(format!(
         "\nMeasured: with {} asks a second a planner kept up in each run ([ask-rate](capacity/ask-rate.json); {}).\n",
-        number(greatest),
+        number(highest_rate),
         held.join(", ")
     ))
 }
 
-/// Where the planners sit.
-fn seats(planners: Planners) -> String {
-    let in_a_zone = planners.listed as f64 / targets::ZONES;
-    let room = targets::CONTROL_MACHINES * assumed::CONTROL_MACHINE_CORES;
-    let fits = if planners.listed as f64 <= room { "They fit" } else { "They do not fit" };
+/// States whether the machines set aside for control have room for the planners.
+fn control_machines_text(planners: PlannerCounts) -> String {
+    let per_zone = planners.total as f64 / targets::ZONES;
+    let cores = targets::CONTROL_MACHINES * assumed::CONTROL_MACHINE_CORES;
+    let fits = if planners.total as f64 <= cores { "They fit" } else { "They do not fit" };
     format!(
         "\nWith a part each and two planners a machine that is **{} planners, {} in each of the {} zones**, so that {} are \
          left without any one zone. {fits}: the {} machines set aside for control have {} cores (at {} each, question 5), \
          and a planner takes one at the peak. Of the machines set aside two zones hold two each and five three.\n",
-        planners.listed,
-        number(in_a_zone),
+        planners.total,
+        number(per_zone),
         number(targets::ZONES),
-        planners.without_a_zone,
+        planners.after_zone_loss,
         number(targets::CONTROL_MACHINES),
-        number(room),
+        number(cores),
         number(assumed::CONTROL_MACHINE_CORES),
     )
 }
--- a/lab/src/capacity/page/reading.rs
+++ b/lab/src/capacity/page/reading.rs
@@ -1,4 +1,4 @@
-//! A figure of a record at a size, whether that size was run or not.
+//! Evaluates a figure of a record at any size, whether or not that size was run.
 
 use super::PageError;
 use crate::capacity::compare::Comparison;
@@ -7,45 +7,45 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// Times the target at which the search for the size that breaks a bound ends.
-const SEARCHED: f64 = 100.0;
-/// Halvings of the span in which a bound breaks: far beyond the digits that are written.
-const HALVINGS: usize = 60;
+/// The search for the size at which a bound is exceeded ends at this multiple of the target size.
+const SEARCH_LIMIT: f64 = 100.0;
+/// Steps of the bisection that locates this size: far more precise than the digits shown.
+const BISECTIONS: usize = 60;
 
 /// All records.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     /// Slopes by name.
     pub slopes: BTreeMap<String, Slope>,
-    /// Two programs side by side.
+    /// The comparison of two versions of the program.
     pub comparison: Option<Comparison>,
 }
 
-/// Which figure of which record, and what is made of it.
+/// Selects a figure of a record and the conversion applied to it.
 #[derive(Clone, Copy, Debug)]
 pub struct Reading {
     /// The slope's name.
     pub slope: &'static str,
     /// The figure's name.
     pub figure: &'static str,
-    /// The name of a second figure of the same runs that is added to it.
-    pub plus: Option<&'static str>,
-    /// What the figure is multiplied by: a rate, a count, or a change of unit.
-    pub times: f64,
-    /// Whether it is multiplied by the size, too: what happens more often the larger the fleet is.
-    pub times_size: bool,
-    /// The unit of what comes out.
+    /// The name of a second figure of the same runs, which is added to the first.
+    pub added_figure: Option<&'static str>,
+    /// The factor by which the figure is multiplied: a rate, a count, or a conversion of units.
+    pub multiplier: f64,
+    /// Whether the figure is also multiplied by the size, for events whose rate is proportional to the size.
+    pub multiplied_by_size: bool,
+    /// The unit of the result.
     pub unit: &'static str,
 }
 
-/// How a value came about.
+/// How a value was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// The fit, at a size that was run.
+    /// From the fit, at a size up to the largest that was run.
     Fitted,
-    /// The fit, at a size beyond the largest that was run.
+    /// From the fit, at a size beyond the largest that was run.
     Extrapolated,
-    /// The median of the runs at the nearest size: there are too few sizes for a fit.
+    /// The median of the runs at the nearest size, because there are too few sizes for a fit.
     Measured,
 }
 
@@ -54,74 +54,74 @@
 pub struct Value {
     /// The value, with its interval.
     pub estimate: Estimate,
-    /// Where it comes from.
+    /// How it was obtained.
     pub origin: Origin,
-    /// The median of the runs at this very size, where there were any.
+    /// The median of the runs at exactly this size, if there are any.
     pub measured: Option<f64>,
-    /// The size that the value holds for.
+    /// The size to which the value applies.
     pub size: f64,
 }
 
-/// Where a figure first passes its bound on the way up.
+/// The smallest size at which a figure exceeds its bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Breaks {
-    /// It is past the bound at the smallest size that was run.
-    Already {
+pub enum Crossing {
+    /// The bound is already exceeded at the smallest size that was run.
+    AtSmallest {
         /// That size.
         size: f64,
     },
-    /// It passes the bound at a size.
+    /// The bound is first exceeded at this size.
     At {
         /// The size.
         size: f64,
-        /// Whether no such size was run.
+        /// Whether this size is beyond the largest that was run.
         extrapolated: bool,
     },
-    /// It does not grow up to the bound.
+    /// The figure does not grow, so it never exceeds the bound.
     Never,
-    /// It passes the bound beyond the size to which the search goes.
-    Beyond {
+    /// The bound is not exceeded up to the size at which the search ends.
+    BeyondSearch {
         /// That size.
         size: f64,
     },
-    /// Only that size was run, and it keeps the bound there.
-    Unknown,
+    /// There is no fit, and no size that was run exceeds the bound.
+    NotInRuns,
 }
 
-/// A figure that can be read at any size.
+/// A figure that can be evaluated at any size.
 pub struct Source<'a> {
     reading: Reading,
     /// The record.
     pub slope: &'a Slope,
-    /// The figure, or the sum of the two.
+    /// The figure, or the sum of two figures.
     pub figure: Cow<'a, Figure>,
     model: Option<Model>,
 }
 
-impl Breaks {
-    /// The size at which the bound is passed, where it is.
+impl Crossing {
+    /// The size at which the bound is exceeded, if it is.
     pub fn size(self) -> Option<f64> {
         match self {
-            Breaks::Already { size } | Breaks::At { size, .. } => Some(size),
-            Breaks::Never | Breaks::Beyond { .. } | Breaks::Unknown => None,
+            Crossing::AtSmallest { size } | Crossing::At { size, .. } => Some(size),
+            Crossing::Never | Crossing::BeyondSearch { .. } | Crossing::NotInRuns => None,
         }
     }
 }
 
 impl Reading {
-    /// What the figure is multiplied by at a size.
+    /// The factor by which the figure is multiplied at a size.
     fn factor(&self, size: f64) -> f64 {
-        if self.times_size {
-            self.times * size
+        if self.multiplied_by_size {
+            self.multiplier * size
         } else {
-            self.times
+            self.multiplier
         }
     }
 
-    /// The figure in the records; none if the record is missing.
+    /// Looks the figure up in the records; `None` if the record is missing.
     ///
     /// # Errors
-    /// If the record has no such figure, or one without a point.
+    /// If the record does not contain the figure, or the figure has no values.
     pub fn source<'a>(&self, records: &'a Records) -> Result<Option<Source<'a>>, PageError> {
         let Some(slope) = records.slopes.get(self.slope) else { return Ok(None) };
         let named = |name: &str| {
@@ -132,7 +132,7 @@
             };
             slope.figure(name).ok_or_else(unknown)
         };
-        let figure = match self.plus {
+        let figure = match self.added_figure {
             None => Cow::Borrowed(named(self.figure)?),
             Some(other) => Cow::Owned(sum(named(self.figure)?, named(other)?)),
         };
@@ -145,7 +145,7 @@
 }
 
 impl Source<'_> {
-    /// The fit, where there are sizes enough for one.
+    /// The fit, if there are enough sizes for one.
     pub fn model(&self) -> Option<&Model> {
         self.model.as_ref()
     }
@@ -161,47 +161,47 @@
         Value { estimate, origin, measured, size }
     }
 
-    /// Where the value first passes a bound, on the way up to a target: by the fit, or at the first size that was run past
-    /// it, whichever is smaller. A fit smooths a step away; a run does not.
-    pub fn breaks(&self, bound: f64, target: f64) -> Breaks {
-        let measured = self.breaks_measured(bound);
+    /// The smallest size at which the value exceeds a bound: by the fit, or by the runs, whichever is
+    /// smaller. A fit smooths out a step in the figure, but the runs show it.
+    pub fn crossing(&self, bound: f64, target: f64) -> Crossing {
+        let measured = self.measured_crossing(bound);
         let Some(model) = &self.model else { return measured };
-        let fitted = self.breaks_fitted(model, bound, target);
+        let fitted = self.fitted_crossing(model, bound, target);
         match (fitted.size(), measured.size()) {
             (fitted_at, Some(measured_at)) if fitted_at.is_none_or(|at| measured_at < at) => measured,
             _ => fitted,
         }
     }
 
-    pub(super) fn breaks_fitted(&self, model: &Model, bound: f64, target: f64) -> Breaks {
+    pub(super) fn fitted_crossing(&self, model: &Model, bound: f64, target: f64) -> Crossing {
         let value = |size: f64| model.predict(size).value * self.reading.factor(size);
-        let (smallest, most) = (self.figure.points[0].size, SEARCHED * target);
+        let (smallest, search_end) = (self.figure.points[0].size, SEARCH_LIMIT * target);
         if value(smallest) > bound {
-            return Breaks::Already { size: smallest };
+            return Crossing::AtSmallest { size: smallest };
         }
-        if value(most) <= value(smallest) {
-            return Breaks::Never;
+        if value(search_end) <= value(smallest) {
+            return Crossing::Never;
         }
-        if value(most) <= bound {
-            return Breaks::Beyond { size: most };
+        if value(search_end) <= bound {
+            return Crossing::BeyondSearch { size: search_end };
         }
-        let (mut keeps, mut passes) = (smallest, most);
-        for _ in 0..HALVINGS {
-            let middle = (keeps + passes) / 2.0;
+        let (mut within, mut beyond) = (smallest, search_end);
+        for _ in 0..BISECTIONS {
+            let middle = (within + beyond) / 2.0;
             if value(middle) > bound {
-                passes = middle;
+                beyond = middle;
             } else {
-                keeps = middle;
+                within = middle;
             }
         }
-        Breaks::At { size: passes, extrapolated: passes > self.largest() }
+        Crossing::At { size: beyond, extrapolated: beyond > self.largest() }
     }
 
     fn largest(&self) -> f64 {
         self.figure.points.last().map_or(0.0, |point| point.size)
     }
 
-    /// What was measured at the size that is nearest.
+    /// The measured value at the nearest size that was run.
     fn nearest(&self, size: f64) -> Value {
         let with_values = self.figure.points.iter().filter(|point| !point.values.is_empty());
         let nearest = with_values.min_by(|a, b| (a.size - size).abs().total_cmp(&(b.size - size).abs()));
@@ -211,33 +211,37 @@
         Value { estimate, origin: Origin::Measured, measured: Some(value), size }
     }
 
-    fn breaks_measured(&self, bound: f64) -> Breaks {
+    fn measured_crossing(&self, bound: f64) -> Crossing {
         let over = |point: &Point| point.median() * self.reading.factor(point.size) > bound;
         let first = self.figure.points.iter().position(over);
         match first {
-            Some(0) => Breaks::Already { size: self.figure.points[0].size },
-            Some(at) => Breaks::At { size: self.figure.points[at].size, extrapolated: false },
-            None => Breaks::Unknown,
+            Some(0) => Crossing::AtSmallest { size: self.figure.points[0].size },
+            Some(at) => Crossing::At { size: self.figure.points[at].size, extrapolated: false },
+            None => Crossing::NotInRuns,
         }
     }
 }
 
-/// The sum of two figures of the same runs, run by run; a run that has only one of them is left out.
+/// The sum of two figures of the same runs, run by run; a run that lacks one of them is left out.
 fn sum(one: &Figure, other: &Figure) -> Figure {
     let add = |point: &Point| {
-        let of_other = other.points.iter().find(|other| other.size == point.size);
-        let others = of_other.map_or(&[][..], |point| &point.values);
-        let values = point.values.iter().zip(others).map(|(one, other)| one + other).collect();
+        let matching = other.points.iter().find(|other| other.size == point.size);
+        let other_values = matching.map_or(&[][..], |point| &point.values);
+        let values = point.values.iter().zip(other_values).map(|(one, other)| one + other).collect();
         Point { size: point.size, values }
     };
     let points = one.points.iter().map(add).filter(|point| !point.values.is_empty()).collect();
     let mut figure = Figure { points, fit: None, ..one.clone() };
     figure.name = format!("{} + {}", one.name, other.name);
-    // With too few sizes there is no fit, as for any figure.
+    // With too few sizes the sum has no fit, like any other figure.
     let _ = figure.fit();
     figure
 }
 
-fn scaled(estimate: Estimate, times: f64) -> Estimate {
-    Estimate { value: estimate.value * times, low: estimate.low * times, high: estimate.high * times }
+fn scaled(estimate: Estimate, multiplier: f64) -> Estimate {
+    Estimate {
+        value: estimate.value * multiplier,
+        low: estimate.low * multiplier,
+        high: estimate.high * multiplier,
+    }
 }
--- a/lab/src/capacity/page/tables.rs
+++ b/lab/src/capacity/page/tables.rs
@@ -1,24 +1,24 @@
-//! The tables one after the other.
+//! Generates the tables of the page.
 
 use super::comparison;
-use super::number::{head, interval, line, number, percent, whole};
-use super::planners::{self, Costs, Planners};
-use super::reading::{Breaks, Origin, Reading, Records, Source, Value};
+use super::number::{all_digits, head, interval, line, number, percent};
+use super::planners::{self, Costs, PlannerCounts};
+use super::reading::{Crossing, Origin, Reading, Records, Source, Value};
 use super::{PageError, NOT_MEASURED};
-use crate::capacity::missing::{Felt, Missing, MISSING};
-use crate::capacity::reasons::{self, OFF_WITHOUT_REASON};
+use crate::capacity::missing::{MissingMechanism, Onset, MISSING};
+use crate::capacity::reasons::{self, MAX_UNEXPLAINED_ERROR};
 use crate::capacity::record::{Fit, Shape, Slope};
-use crate::capacity::rows::{self, Bound, Kind, Place, Resource, Row, Size, HOLLOW_AND_REAL};
+use crate::capacity::rows::{self, Bound, Kind, Resource, Row, Section, Size, HOLLOW_AND_REAL};
 use crate::capacity::targets;
 use std::collections::BTreeSet;
 
-/// All tables.
+/// Generates all tables, in the order of the page.
 pub fn all(records: &Records) -> Result<String, PageError> {
     let planners = Costs::read(records)?.and_then(|costs| costs.planners());
     let mut text = String::from("\n### Roles\n");
-    text += &places(records, planners, |place| matches!(place, Place::Role(_)))?;
+    text += &section_tables(records, planners, |section| matches!(section, Section::Role(_)))?;
     text += "\n### Events\n";
-    text += &places(records, planners, |place| matches!(place, Place::Event(_)))?;
+    text += &section_tables(records, planners, |section| matches!(section, Section::Event(_)))?;
     text += "\n### How many planners\n\n";
     text += &planners::table(records)?;
     text += "\n### What is missing\n\n";
@@ -34,17 +34,17 @@
     Ok(text + "\n")
 }
 
-/// One table for each place.
-fn places(
+/// Generates one table for each role or event.
+fn section_tables(
     records: &Records,
-    planners: Option<Planners>,
-    wanted: fn(Place) -> bool,
+    planners: Option<PlannerCounts>,
+    wanted: fn(Section) -> bool,
 ) -> Result<String, PageError> {
     let mut text = String::new();
     let mut last = None;
-    for row in rows::all().filter(|row| wanted(row.place)) {
-        if last != Some(row.place) {
-            let (Place::Role(name) | Place::Event(name)) = row.place;
+    for row in rows::all().filter(|row| wanted(row.section)) {
+        if last != Some(row.section) {
+            let (Section::Role(name) | Section::Event(name)) = row.section;
             text += &format!("\n**{name}**\n\n");
             text += &head(&[
                 "what",
@@ -57,39 +57,41 @@
                 "from",
                 "carried by",
             ]);
-            last = Some(row.place);
+            last = Some(row.section);
         }
         text += &line(&cells(row, records, planners)?);
     }
     Ok(text)
 }
 
-fn cells(row: &Row, records: &Records, planners: Option<Planners>) -> Result<Vec<String>, PageError> {
+fn cells(row: &Row, records: &Records, planners: Option<PlannerCounts>) -> Result<Vec<String>, PageError> {
     let bound = row.bound.map_or("-".into(), |bound| bound_text(bound, row.reading.unit));
     let kind = format!("{}, {}", kind_text(row.kind), resource_text(row.resource));
     let front = [row.what.to_string(), kind];
     let module = row.module.to_string();
     let (source, size) = (row.reading.source(records)?, resolve(row.size, planners));
     let (Some(source), Some(size)) = (source, size) else {
-        let at = size.map_or(size_text(row.size).into(), whole);
+        let at = size.map_or(size_text(row.size).into(), all_digits);
         let missing =
             [at, NOT_MEASURED.into(), bound, "-".into(), "-".into(), row.reading.slope.into(), module];
         return Ok(front.into_iter().chain(missing).collect());
     };
     let value = source.at(size);
-    let at = format!("{} {}", whole(value.size), source.slope.size);
-    let factor = row.bound.map_or("-".into(), |bound| number(value.estimate.value / bound.most));
-    let breaks = row.bound.map_or("-".into(), |bound| breaks_text(source.breaks(bound.most, size)));
+    let at = format!("{} {}", all_digits(value.size), source.slope.size);
+    let factor = row.bound.map_or("-".into(), |bound| number(value.estimate.value / bound.limit));
+    let crossing = row.bound.map_or("-".into(), |bound| crossing_text(source.crossing(bound.limit, size)));
     let needed = value_text(&value, row.reading.unit);
-    let rest = [at, needed, bound, factor, breaks, link(source.slope), module];
+    let rest = [at, needed, bound, factor, crossing, link(source.slope), module];
     Ok(front.into_iter().chain(rest).collect())
 }
 
-fn resolve(size: Size, planners: Option<Planners>) -> Option<f64> {
+fn resolve(size: Size, planners: Option<PlannerCounts>) -> Option<f64> {
     match size {
         Size::Target(size) => Some(size),
-        Size::Planners => planners.map(|planners| planners.listed as f64),
-        Size::TasksOfPlanner => planners.map(|p| (targets::STANDING_TASKS / p.without_a_zone as f64).ceil()),
+        Size::Planners => planners.map(|planners| planners.total as f64),
+        Size::TasksPerPlanner => {
+            planners.map(|p| (targets::STANDING_TASKS / p.after_zone_loss as f64).ceil())
+        }
     }
 }
 
@@ -97,7 +99,7 @@
     match size {
         Size::Target(_) => "the target",
         Size::Planners => "all planners",
-        Size::TasksOfPlanner => "one planner's tasks",
+        Size::TasksPerPlanner => "one planner's tasks",
     }
 }
 
@@ -119,7 +121,7 @@
 }
 
 fn bound_text(bound: Bound, unit: &str) -> String {
-    format!("{} {unit} ({})", whole(bound.most), bound.by)
+    format!("{} {unit} ({})", all_digits(bound.limit), bound.set_by)
 }
 
 fn value_text(value: &Value, unit: &str) -> String {
@@ -132,14 +134,14 @@
     }
 }
 
-fn breaks_text(breaks: Breaks) -> String {
-    match breaks {
-        Breaks::Already { size } => format!("**{} or fewer**", whole(size)),
-        Breaks::At { size, extrapolated: false } => format!("**{}**", number(size)),
-        Breaks::At { size, extrapolated: true } => format!("{}, *extrapolated*", number(size)),
-        Breaks::Never => "does not break: it does not grow".into(),
-        Breaks::Beyond { size } => format!("not up to {}", whole(size)),
-        Breaks::Unknown => "not in what was run".into(),
+fn crossing_text(crossing: Crossing) -> String {
+    match crossing {
+        Crossing::AtSmallest { size } => format!("**{} or fewer**", all_digits(size)),
+        Crossing::At { size, extrapolated: false } => format!("**{}**", number(size)),
+        Crossing::At { size, extrapolated: true } => format!("{}, *extrapolated*", number(size)),
+        Crossing::Never => "does not break: it does not grow".into(),
+        Crossing::BeyondSearch { size } => format!("not up to {}", all_digits(size)),
+        Crossing::NotInRuns => "not in what was run".into(),
     }
 }
 
@@ -148,49 +150,50 @@
     format!("[{0}](capacity/{0}.json){short}", slope.name)
 }
 
-/// A mechanism that is missing, with where its lack is felt.
-struct FeltMissing<'a> {
-    missing: &'a Missing,
-    /// As a share of the target; more than any where it was not measured, or is not felt in what was.
+/// A missing mechanism, with the size at which the program needs it.
+struct RankedMechanism<'a> {
+    missing: &'a MissingMechanism,
+    /// That size as a share of the target; infinite if it was not measured, and larger than any real share
+    /// if no measured row exceeds its bound.
     share: f64,
     text: String,
 }
 
-fn missing(records: &Records, planners: Option<Planners>) -> Result<String, PageError> {
+fn missing(records: &Records, planners: Option<PlannerCounts>) -> Result<String, PageError> {
     let mut all = Vec::new();
     for missing in MISSING {
-        let (share, text) = match missing.felt {
-            Felt::Always(why) => (0.0, format!("any: {why}")),
-            Felt::Rows(ids) => first_broken(ids, records, planners)?,
+        let (share, text) = match missing.onset {
+            Onset::Always(why) => (0.0, format!("any: {why}")),
+            Onset::Rows(ids) => first_exceeded(ids, records, planners)?,
         };
-        all.push(FeltMissing { missing, share, text });
+        all.push(RankedMechanism { missing, share, text });
     }
     all.sort_by(|a, b| a.share.total_cmp(&b.share));
     let mut text = head(&["", "felt at", "mechanism", "the code today", "what it would take"]);
-    for (at, FeltMissing { missing, text: felt, .. }) in all.iter().enumerate() {
-        let place = (at + 1).to_string();
-        let cells = [place.as_str(), felt.as_str(), missing.name, missing.today, missing.takes];
+    for (at, RankedMechanism { missing, text: onset, .. }) in all.iter().enumerate() {
+        let rank = (at + 1).to_string();
+        let cells = [rank.as_str(), onset.as_str(), missing.name, missing.today, missing.remedy];
         text += &line(&cells.map(str::to_string));
     }
     Ok(text)
 }
 
-/// The row that breaks its bound at the smallest share of its target.
-fn first_broken(
+/// Finds the row that exceeds its bound at the smallest share of its target.
+fn first_exceeded(
     ids: &[&str],
     records: &Records,
-    planners: Option<Planners>,
+    planners: Option<PlannerCounts>,
 ) -> Result<(f64, String), PageError> {
     let mut first = (f64::INFINITY, NOT_MEASURED.to_string());
     for row in rows::all().filter(|row| ids.contains(&row.id)) {
         let (source, target) = (row.reading.source(records)?, resolve(row.size, planners));
         let (Some(source), Some(target), Some(bound)) = (source, target, row.bound) else { continue };
-        let breaks = source.breaks(bound.most, target);
-        let size = breaks.size().unwrap_or(f64::MAX);
+        let crossing = source.crossing(bound.limit, target);
+        let size = crossing.size().unwrap_or(f64::MAX);
         if size / target < first.0 {
             let text = match size == f64::MAX {
                 true => "not in what was run".into(),
-                false => format!("{} {} ({})", breaks_text(breaks), source.slope.size, row.what),
+                false => format!("{} {} ({})", crossing_text(crossing), source.slope.size, row.what),
             };
             first = (size / target, text);
         }
@@ -198,14 +201,15 @@
     Ok(first)
 }
 
-/// All figures that the page reads, each once.
+/// All figures that the page uses, each once.
 fn readings() -> Vec<Reading> {
     let mut seen = BTreeSet::new();
     let all = rows::all().map(|row| row.reading).chain(planners::READINGS);
-    all.filter(|reading| seen.insert((reading.slope, reading.figure, reading.plus))).collect()
+    all.filter(|reading| seen.insert((reading.slope, reading.figure, reading.added_figure))).collect()
 }
 
-/// What a hollow planner or machine gives beside real processes, at each size that both ran.
+/// Compares figures from hollow planners or machines with those from real processes, at each size that both
+/// ran.
 fn hollow_beside_real(records: &Records) -> Result<String, PageError> {
     let mut text = head(&["figure", "size", "hollow", "real", "real over hollow", "from"]);
     for pair in HOLLOW_AND_REAL {
@@ -223,7 +227,7 @@
                 continue;
             };
             let values = [of_hollow, of_real].map(|value| format!("{} {}", number(value), pair.hollow.unit));
-            let size = format!("{} {}", whole(point.size), hollow.slope.size);
+            let size = format!("{} {}", all_digits(point.size), hollow.slope.size);
             let [of_hollow_text, of_real_text] = values;
             let ratio = number(of_real / of_hollow);
             text += &line(&[pair.what.into(), size, of_hollow_text, of_real_text, ratio, from.clone()]);
@@ -246,18 +250,18 @@
 fn prediction(source: &Source<'_>, fit: &Fit) -> Vec<String> {
     let held_out = &fit.held_out;
     let why = match reason(source, fit) {
-        Reasoned::NotNeeded => "-".to_string(),
-        Reasoned::Given(why) => why.to_string(),
-        Reasoned::WithinInterval => {
+        Explanation::NotNeeded => "-".to_string(),
+        Explanation::Given(why) => why.to_string(),
+        Explanation::WithinInterval => {
             "within the interval: runs and sizes scatter this much about the shape".into()
         }
-        Reasoned::Lacking => "**no reason is known yet**".into(),
+        Explanation::NotKnown => "**no reason is known yet**".into(),
     };
     vec![
         link(source.slope),
         format!("{}, {}", source.figure.name, source.figure.unit),
         shape_text(fit.shape).into(),
-        format!("{} {}", whole(held_out.size), source.slope.size),
+        format!("{} {}", all_digits(held_out.size), source.slope.size),
         interval(held_out.predicted),
         number(held_out.measured),
         percent(held_out.off_by),
@@ -265,36 +269,39 @@
     ]
 }
 
-enum Reasoned {
+enum Explanation {
     NotNeeded,
     Given(&'static str),
     WithinInterval,
-    Lacking,
+    NotKnown,
 }
 
-fn reason(source: &Source<'_>, fit: &Fit) -> Reasoned {
+fn reason(source: &Source<'_>, fit: &Fit) -> Explanation {
     let held_out = &fit.held_out;
-    if held_out.off_by <= OFF_WITHOUT_REASON {
-        return Reasoned::NotNeeded;
+    if held_out.off_by <= MAX_UNEXPLAINED_ERROR {
+        return Explanation::NotNeeded;
     }
     if let Some(why) = reasons::of(&source.slope.name, &source.figure.name) {
-        return Reasoned::Given(why);
+        return Explanation::Given(why);
     }
     let within = (held_out.predicted.low..=held_out.predicted.high).contains(&held_out.measured);
-    // Counts do not scatter: where their interval is wide, the shape is wrong.
+    // Counts do not scatter, so a wide interval of a count means that the shape is wrong.
     match within && !source.figure.exact {
-        true => Reasoned::WithinInterval,
-        false => Reasoned::Lacking,
+        true => Explanation::WithinInterval,
+        false => Explanation::NotKnown,
     }
 }
 
-/// The figures whose prediction was far off for no reason that is known.
+/// The figures whose prediction is off by more than the limit, without a known reason.
 pub fn unexplained(records: &Records) -> Result<Vec<String>, PageError> {
     let mut names = Vec::new();
     for reading in readings() {
         let Some(source) = reading.source(records)? else { continue };
-        let lacks =
-            source.figure.fit.as_ref().is_some_and(|fit| matches!(reason(&source, fit), Reasoned::Lacking));
+        let lacks = source
+            .figure
+            .fit
+            .as_ref()
+            .is_some_and(|fit| matches!(reason(&source, fit), Explanation::NotKnown));
         if lacks {
             names.push(format!("{}: {}", reading.slope, reading.figure));
         }
@@ -311,7 +318,7 @@
     }
 }
 
-/// What was real and what was not, by record.
+/// Lists for each record what was real and what was hollow.
 fn runs(records: &Records) -> String {
     let mut text = head(&["record", "question", "run", "real", "hollow"]);
     for slope in records.slopes.values() {
--- a/lab/src/capacity/page/tests.rs
+++ b/lab/src/capacity/page/tests.rs
@@ -1,11 +1,11 @@
-use super::number::{interval, number, percent, whole};
+use super::number::{all_digits, interval, number, percent};
 use super::planners::{Costs, View};
-use super::reading::{Breaks, Origin, Reading, Records};
+use super::reading::{Crossing, Origin, Reading, Records};
 use super::*;
 use crate::capacity::compare::{Compared, Comparison, Setting};
-use crate::capacity::missing::{Felt, MISSING};
+use crate::capacity::missing::{Onset, MISSING};
 use crate::capacity::record::{Estimate, Figure, Point, Run};
-use crate::capacity::rows::{self, Place, HOLLOW_AND_REAL};
+use crate::capacity::rows::{self, Section, HOLLOW_AND_REAL};
 use crate::capacity::targets::{assumed, control};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,8 +37,8 @@
     Records { slopes, comparison: None }
 }
 
-/// A planner at rest takes 0.0099% of a core for each machine, and 8 MB with 7.9 KB for each; an ask takes 0.4 ms, and 0.2
-/// microseconds for each machine.
+/// Records of a planner that at rest uses 0.0099% of a core per machine, and 8 MB of memory plus 7.9 KB per
+/// machine; a request takes 0.4 ms plus 0.2 microseconds per machine.
 fn planner() -> Records {
     records(vec![
         slope(
@@ -61,8 +61,8 @@
     ])
 }
 
-fn of(slope: &'static str, figure: &'static str, times: f64) -> Reading {
-    Reading { slope, figure, plus: None, times, times_size: false, unit: "%" }
+fn of(slope: &'static str, figure: &'static str, multiplier: f64) -> Reading {
+    Reading { slope, figure, added_figure: None, multiplier, multiplied_by_size: false, unit: "%" }
 }
 
 #[test]
@@ -84,24 +84,28 @@
     }
     assert_eq!((percent(0.1234), percent(2e-16)), ("12.3%".into(), "0%".into()));
     assert_eq!(
-        (whole(1_024.0), whole(4_194_304.0), whole(1.234)),
+        (all_digits(1_024.0), all_digits(4_194_304.0), all_digits(1.234)),
         ("1,024".into(), "4,194,304".into(), "1.23".into())
     );
     assert_eq!(interval(Estimate { value: 2.0, low: 1.0, high: 3.0 }), "2 (1 to 3)");
 }
 
 #[test]
-fn the_size_that_breaks_a_bound_is_solved_from_the_fit() {
+fn the_size_that_exceeds_a_bound_is_found_from_the_fit() {
     let records = planner();
     let source = of("rest-machines", "processor time at rest", 100.0).source(&records).unwrap().unwrap();
-    let Breaks::At { size, extrapolated } = source.breaks(1.5, 18_000.0) else { panic!("it breaks") };
+    let Crossing::At { size, extrapolated } = source.crossing(1.5, 18_000.0) else {
+        panic!("bound not exceeded")
+    };
     assert!((size - 1.5 / 0.0099).abs() < 1e-3 && !extrapolated, "{size}");
-    let Breaks::At { size, extrapolated } = source.breaks(150.0, 18_000.0) else { panic!("it breaks") };
+    let Crossing::At { size, extrapolated } = source.crossing(150.0, 18_000.0) else {
+        panic!("bound not exceeded")
+    };
     assert!((size - 150.0 / 0.0099).abs() < 0.1 && extrapolated, "{size}");
-    assert_eq!(source.breaks(0.1, 18_000.0), Breaks::Already { size: 20.0 });
-    assert_eq!(source.breaks(1e9, 18_000.0), Breaks::Beyond { size: 1_800_000.0 });
+    assert_eq!(source.crossing(0.1, 18_000.0), Crossing::AtSmallest { size: 20.0 });
+    assert_eq!(source.crossing(1e9, 18_000.0), Crossing::BeyondSearch { size: 1_800_000.0 });
     let flat = of("ask-machines", "answer at 200 a second, p99", 1.0).source(&records).unwrap().unwrap();
-    assert_eq!(flat.breaks(300.0, 18_000.0), Breaks::Never);
+    assert_eq!(flat.crossing(300.0, 18_000.0), Crossing::Never);
 }
 
 #[test]
@@ -116,15 +120,16 @@
     assert!(render(&records).unwrap().contains("178 % of a core, *extrapolated*"));
 }
 
-/// Guards a bound that is passed in a step, which a line through all sizes would put far higher.
+/// A figure that exceeds its bound in a single step: a line fitted through all sizes would place the crossing
+/// far higher.
 #[test]
-fn a_size_that_was_run_past_the_bound_breaks_it_whatever_the_fit_says() {
+fn a_measured_crossing_takes_precedence_over_a_later_fitted_one() {
     let step = |size: f64| if size >= 400.0 { 4.0 } else { 0.1 };
     let records = records(vec![slope("rest-machines", vec![figure("processor time at rest", "%", step)])]);
     let source = of("rest-machines", "processor time at rest", 1.0).source(&records).unwrap().unwrap();
-    let fitted = source.breaks_fitted(source.model().unwrap(), 3.9, 18_000.0).size();
-    assert_eq!(source.breaks(3.9, 18_000.0), Breaks::At { size: 400.0, extrapolated: false });
-    assert!(fitted.is_none_or(|at| at > 400.0), "the fit alone tells {fitted:?}");
+    let fitted = source.fitted_crossing(source.model().unwrap(), 3.9, 18_000.0).size();
+    assert_eq!(source.crossing(3.9, 18_000.0), Crossing::At { size: 400.0, extrapolated: false });
+    assert!(fitted.is_none_or(|at| at > 400.0), "the fit alone gives {fitted:?}");
 }
 
 #[test]
@@ -137,8 +142,8 @@
     let value = source.at(18_000.0);
     assert_eq!((value.origin, value.size), (Origin::Measured, 400.0));
     assert!((value.estimate.value - 3.96).abs() < 1e-9);
-    assert_eq!(source.breaks(1.5, 18_000.0), Breaks::At { size: 400.0, extrapolated: false });
-    assert_eq!(source.breaks(5.0, 18_000.0), Breaks::Unknown);
+    assert_eq!(source.crossing(1.5, 18_000.0), Crossing::At { size: 400.0, extrapolated: false });
+    assert_eq!(source.crossing(5.0, 18_000.0), Crossing::NotInRuns);
 }
 
 #[test]
@@ -146,12 +151,12 @@
     let tables = render(&Records::default()).unwrap();
     assert_eq!(
         tables.matches("not measured").count(),
-        rows::all().count() + HOLLOW_AND_REAL.len() + 2 + felt_by_rows()
+        rows::all().count() + HOLLOW_AND_REAL.len() + 2 + mechanisms_with_rows()
     );
 }
 
-fn felt_by_rows() -> usize {
-    MISSING.iter().filter(|missing| matches!(missing.felt, Felt::Rows(_))).count()
+fn mechanisms_with_rows() -> usize {
+    MISSING.iter().filter(|missing| matches!(missing.onset, Onset::Rows(_))).count()
 }
 
 #[test]
@@ -163,7 +168,7 @@
 }
 
 #[test]
-fn a_fit_that_is_not_that_of_its_points_is_refused() {
+fn a_fit_that_does_not_match_its_points_is_refused() {
     let mut records = planner();
     records.slopes.get_mut("rest-machines").unwrap().figures[0].points[2].values = vec![0.041];
     let refused = render(&records).unwrap_err();
@@ -171,23 +176,23 @@
 }
 
 #[test]
-fn planners_follow_from_what_one_serves_and_costs() {
+fn planner_counts_follow_from_the_costs_of_one_planner() {
     let records = planner();
     let costs = Costs::read(&records).unwrap().unwrap();
     // At 20 machines: (0.7 - 0.00198) of a second for 0.404 ms each.
-    let starts = costs.starts_of_one(20.0);
-    assert!((starts - (assumed::BUSY_SHARE - 0.00198) / 0.000_404).abs() < 1e-6, "{starts}");
-    // At rest 18,000 machines take more than the whole core.
-    let whole = costs.count(View::Whole);
-    assert_eq!((whole.starts, whole.processor, whole.memory), (None, None, None));
-    // 151.5 machines keep 1.5% of a core: 18,000 x 2 / 238 is less.
-    let part = costs.count(View::Part { replicas: 2 });
+    let starts = costs.starts_per_planner(20.0);
+    assert!((starts - (assumed::PLANNED_CORE_SHARE - 0.00198) / 0.000_404).abs() < 1e-6, "{starts}");
+    // At rest, 18,000 machines take more than one core.
+    let all_machines = costs.count(View::AllMachines);
+    assert_eq!((all_machines.starts, all_machines.processor, all_machines.memory), (None, None, None));
+    // 151.5 machines take 1.5% of a core; with 238 planners each handles 18,000 x 2 / 238, which is fewer.
+    let part = costs.count(View::PartOfMachines { replicas: 2 });
     assert_eq!(part.processor, Some(238));
-    // 3,038 machines keep 32 MB.
+    // 3,038 machines fit into 32 MB.
     assert_eq!(part.memory, Some(12));
     assert_eq!(part.bytes, Some(33));
     let planners = costs.planners().unwrap();
-    assert_eq!((planners.without_a_zone, planners.listed), (238, 280));
+    assert_eq!((planners.after_zone_loss, planners.total), (238, 280));
     assert!(control::PROCESSOR_SHARE > costs_at(&records, 18_000.0 * 2.0 / 238.0));
 }
 
@@ -197,16 +202,16 @@
 }
 
 #[test]
-fn what_is_missing_stands_in_the_order_in_which_it_is_felt() {
+fn missing_mechanisms_are_listed_by_the_size_at_which_they_are_needed() {
     let tables = render(&planner()).unwrap();
-    let at = |name: &str| tables.find(name).unwrap_or_else(|| panic!("{name} is there"));
+    let at = |name: &str| tables.find(name).unwrap_or_else(|| panic!("the page lacks {name}"));
     assert!(tables.contains("**152** machines (processor time at rest)"), "{tables}");
     assert!(at("Teams' quotas") < at("A planner serves a bounded part"));
     assert!(at("A planner serves a bounded part") < at("Configuration as changes"));
 }
 
 #[test]
-fn programs_side_by_side_are_shown_as_measured() {
+fn compared_programs_are_shown_with_their_medians() {
     let point = |size: f64, values: &[f64]| Point { size, values: values.to_vec() };
     let figure = Compared {
         name: "answer, p99".into(),
@@ -232,15 +237,16 @@
     assert!(tables.contains("| answer, p99, ms | 8 and 6 | 400 and not measured |"), "{tables}");
 }
 
-/// What each machine brings is as much more as there are machines.
+/// A cost per event whose rate is proportional to the machines is multiplied by the number of machines.
 #[test]
-fn what_comes_with_each_unit_of_the_size_grows_with_it() {
+fn a_cost_per_unit_of_the_size_is_multiplied_by_the_size() {
     let records = planner();
-    let reading = Reading { times_size: true, ..of("ask-machines", "answer at 200 a second, p99", 0.5) };
+    let reading =
+        Reading { multiplied_by_size: true, ..of("ask-machines", "answer at 200 a second, p99", 0.5) };
     let source = reading.source(&records).unwrap().unwrap();
     assert_eq!(source.at(400.0).measured, Some(1_200.0));
     assert!((source.at(400.0).estimate.value - 1_200.0).abs() < 1e-6);
-    let Breaks::At { size, .. } = source.breaks(300.0, 18_000.0) else { panic!("it breaks") };
+    let Crossing::At { size, .. } = source.crossing(300.0, 18_000.0) else { panic!("bound not exceeded") };
     assert!((size - 100.0).abs() < 1e-6, "{size}");
 }
 
@@ -250,15 +256,16 @@
     let figures = &mut records.slopes.get_mut("rest-machines").unwrap().figures;
     let bytes_in = figures.iter_mut().find(|figure| figure.name == "bytes in at rest").unwrap();
     bytes_in.points[0].values = vec![80.0, 90.0];
-    let reading = Reading { plus: Some("bytes out at rest"), ..of("rest-machines", "bytes in at rest", 1.0) };
+    let reading =
+        Reading { added_figure: Some("bytes out at rest"), ..of("rest-machines", "bytes in at rest", 1.0) };
     let source = reading.source(&records).unwrap().unwrap();
-    // The second run of the one has none of the other beside it.
+    // The first figure has a second run, but the other does not, so that run is left out.
     assert_eq!(source.figure.points[0].values, [200.0]);
     assert_eq!(source.at(400.0).measured, Some(4_000.0));
 }
 
 #[test]
-fn hollow_figures_stand_beside_real_ones_at_sizes_that_both_ran() {
+fn hollow_figures_are_compared_with_real_ones_at_sizes_that_both_ran() {
     let mut records = planner();
     let half = figure("messages to machines a second", "messages/s", |n| n / 2.0);
     let mut hollow = slope("rest-hollow", vec![half]);
@@ -271,18 +278,18 @@
 }
 
 #[test]
-fn rows_are_named_once_and_found() {
+fn row_ids_are_unique_and_missing_mechanisms_refer_to_bounded_rows() {
     let ids: BTreeSet<&str> = rows::all().map(|row| row.id).collect();
     assert_eq!(ids.len(), rows::all().count());
     for missing in MISSING {
-        let Felt::Rows(ids) = missing.felt else { continue };
-        let broken = |id: &&str| rows::all().any(|row| row.id == *id && row.bound.is_some());
-        assert!(ids.iter().all(broken), "{}", missing.name);
+        let Onset::Rows(ids) = missing.onset else { continue };
+        let has_bound = |id: &&str| rows::all().any(|row| row.id == *id && row.bound.is_some());
+        assert!(ids.iter().all(has_bound), "{}", missing.name);
     }
-    // A place that came again would get a second table.
-    let mut places: Vec<Place> = rows::all().map(|row| row.place).collect();
-    places.dedup();
-    assert!((1..places.len()).all(|at| !places[..at].contains(&places[at])));
+    // A section whose rows are not adjacent would get a second table.
+    let mut sections: Vec<Section> = rows::all().map(|row| row.section).collect();
+    sections.dedup();
+    assert!((1..sections.len()).all(|at| !sections[..at].contains(&sections[at])));
 }
 
 #[test]
--- a/lab/src/capacity/reasons.rs
+++ b/lab/src/capacity/reasons.rs
@@ -1,21 +1,21 @@
-//! Why a prediction was further off than it may be: the sentences that no computation can give. A test of the page holds
-//! that none is missing.
+//! Explanations, written by hand, of predictions that are off by more than [`MAX_UNEXPLAINED_ERROR`]. A test
+//! of the page checks that none is missing.
 
-/// Share of what was measured by which a prediction may be off without a reason.
-pub const OFF_WITHOUT_REASON: f64 = 0.2;
+/// The relative error, as a share of the measured value, up to which a prediction needs no explanation.
+pub const MAX_UNEXPLAINED_ERROR: f64 = 0.2;
 
-/// A reason.
+/// The explanation for one figure.
 #[derive(Clone, Copy, Debug)]
 pub struct Reason {
-    /// The slope.
+    /// The name of the slope.
     pub slope: &'static str,
-    /// The figure.
+    /// The name of the figure.
     pub figure: &'static str,
-    /// Why its prediction is off.
+    /// Why the prediction is off.
     pub why: &'static str,
 }
 
-/// All reasons.
+/// All explanations.
 pub const REASONS: &[Reason] = &[
     Reason {
         slope: "admission-routes",
@@ -42,7 +42,7 @@
     },
 ];
 
-/// The reason for a figure.
+/// Looks up the explanation for a figure.
 pub fn of(slope: &str, figure: &str) -> Option<&'static str> {
     REASONS.iter().find(|reason| reason.slope == slope && reason.figure == figure).map(|reason| reason.why)
 }
--- a/lab/src/capacity/record.rs
+++ b/lab/src/capacity/record.rs
@@ -1,44 +1,44 @@
-//! What a scale test measured, as it is committed: one JSON file a slope.
+//! The results of scale tests, as they are committed: one JSON file per slope.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Where records are kept, relative to the root of the repository.
+/// The folder of the records, relative to the root of the repository.
 pub const RECORDS: &str = "docs/capacity";
 
-/// One slope: figures against a size that grows, while the other sizes stand still.
+/// One slope: figures measured while one size grows and the others are constant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
     /// Its name; the file is `NAME.json`.
     pub name: String,
     /// The question that it answers, in one sentence.
     pub question: String,
-    /// What grows, such as "machines".
+    /// The size that grows, such as "machines".
     pub size: String,
-    /// The sizes that stand still, with their values.
+    /// The sizes that are constant, with their values.
     pub held: BTreeMap<String, f64>,
-    /// Which part of the run was the real code in a real process.
+    /// Which parts of the run were the real code in real processes.
     pub real: String,
-    /// Which part was simulated or a stand-in.
+    /// Which parts were simulated or replaced by stand-ins.
     pub hollow: String,
-    /// Where and when it was run.
+    /// When, with which program and on which machine it was measured.
     pub run: Run,
-    /// What was measured.
+    /// The measured figures.
     pub figures: Vec<Figure>,
 }
 
-/// Where and when a slope was run.
+/// When, with which program and on which machine a slope was measured.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// Day, as YYYY-MM-DD.
+    /// The day, as YYYY-MM-DD.
     pub date: String,
-    /// The commit of the program that was measured, abbreviated; with `+` where the tree had changes.
+    /// The abbreviated commit of the measured program, followed by `+` if the working tree had changes.
     pub commit: String,
-    /// Processor model and count of cores.
+    /// Processor model and number of cores.
     pub machine: String,
-    /// Whether it was the short form, whose sizes are smaller.
+    /// Whether it was the short form, which uses smaller sizes.
     pub short: bool,
 }
 
@@ -49,11 +49,11 @@
     pub name: String,
     /// Its unit, such as "share of a core", "ms", "bytes/s" or "count".
     pub unit: String,
-    /// Whether it is a count that each run gives alike, rather than a measured time or size.
+    /// Whether it is a deterministic count, equal in every run, rather than a measured time or size.
     pub exact: bool,
-    /// The measured values by size, ascending.
+    /// The measured values, by ascending size.
     pub points: Vec<Point>,
-    /// The shape fitted to all sizes but the largest; none until it was fitted.
+    /// The shape fitted to all sizes but the largest; `None` until [`Figure::fit`] succeeds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fit: Option<Fit>,
 }
@@ -63,21 +63,21 @@
 pub struct Point {
     /// The size.
     pub size: f64,
-    /// One value a run.
+    /// One value per run.
     pub values: Vec<f64>,
 }
 
-/// How a figure grows.
+/// How a figure grows with the size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
     /// It does not grow.
     Constant,
-    /// With the size.
+    /// Proportionally to the size.
     Linear,
-    /// With the size times its logarithm.
+    /// Proportionally to the size times its logarithm.
     NLogN,
-    /// With the square of the size.
+    /// Proportionally to the square of the size.
     Square,
 }
 
@@ -97,33 +97,34 @@
 pub struct Fit {
     /// The shape.
     pub shape: Shape,
-    /// The part that does not grow.
+    /// The constant term.
     pub intercept: Estimate,
-    /// The part for each unit of the shape; none for a constant.
+    /// The coefficient of the shape; `None` for a constant.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slope: Option<Estimate>,
-    /// The largest size, which the fit did not see.
+    /// The prediction for the largest size, which is excluded from the fit.
     pub held_out: HeldOut,
 }
 
-/// The prediction for the size that was held out of a fit, and what was measured there.
+/// The prediction for the size that was held out of a fit, with the measurement there.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldOut {
     /// The size.
     pub size: f64,
-    /// What the fit predicts, with the 95% interval of a prediction.
+    /// The predicted value, with its 95% prediction interval.
     pub predicted: Estimate,
-    /// The median of what was measured.
+    /// The median of the measured values.
     pub measured: f64,
-    /// How far the prediction was off, as a share of what was measured.
+    /// The relative error of the prediction, as a share of the measured median.
     pub off_by: f64,
 }
 
-/// Share by which two computations of one fit may differ: rounding, and decimals on the way through the file.
+/// Relative difference that is allowed between two computations of one fit: floating-point rounding, and the
+/// conversion to and from decimals in the file.
 const ROUNDING: f64 = 1e-6;
 
 impl Fit {
-    /// Whether another computation came to the same fit, but for rounding.
+    /// Whether two fits are equal apart from rounding.
     pub fn agrees(&self, other: &Fit) -> bool {
         let slopes = match (self.slope, other.slope) {
             (None, None) => true,
@@ -150,13 +151,13 @@
     }
 }
 
-/// Whether two values differ by rounding alone, beside values of that scale.
+/// Whether two values differ by no more than rounding, relative to `scale`.
 fn near(a: f64, b: f64, scale: f64) -> bool {
     (a - b).abs() <= ROUNDING * scale.abs()
 }
 
 impl Point {
-    /// The median of its values; not a number if there are none.
+    /// The median of its values; NaN if there are none.
     pub fn median(&self) -> f64 {
         let mut values = self.values.clone();
         values.sort_by(f64::total_cmp);
@@ -170,7 +171,7 @@
 }
 
 impl Slope {
-    /// The file of a record under the repository's root.
+    /// The path of a slope's record under the root of the repository.
     pub fn path(root: &Path, name: &str) -> PathBuf {
         root.join(RECORDS).join(format!("{name}.json"))
     }
@@ -178,13 +179,13 @@
     /// Reads a record.
     ///
     /// # Errors
-    /// If the file cannot be read or is no record.
+    /// If the file cannot be read or is not a record.
     pub fn read(path: &Path) -> io::Result<Slope> {
         let text = std::fs::read(path)?;
         serde_json::from_slice(&text).map_err(io::Error::other)
     }
 
-    /// Writes the record under the repository's root.
+    /// Writes the record under the root of the repository.
     ///
     /// # Errors
     /// If the file cannot be written.
@@ -202,7 +203,7 @@
         std::fs::write(folder.join(format!("{}.json", self.name)), text + "\n")
     }
 
-    /// A figure by its name.
+    /// Finds a figure by its name.
     pub fn figure(&self, name: &str) -> Option<&Figure> {
         self.figures.iter().find(|figure| figure.name == name)
     }
--- a/lab/src/capacity/rows.rs
+++ b/lab/src/capacity/rows.rs
@@ -1,38 +1,38 @@
-//! The rows of the page: which figure of which slope tells what a role or an event needs, at which size, under which
-//! bound, and which module carries it.
+//! The rows of the page: for each cost of a role or an event, the figure and slope that measure it, the size
+//! at which it is evaluated, its bound, and the module that causes it.
 
-mod beside;
 mod events;
 mod fleet;
+mod hollow_real_pairs;
 mod planner;
 
-pub use beside::{Beside, HOLLOW_AND_REAL};
+pub use hollow_real_pairs::{HollowRealPair, HOLLOW_AND_REAL};
 
 use super::page::reading::Reading;
 use super::targets::{self, control};
 
-/// A part that something of the fleet plays, or something that happens to it.
+/// A section of the page: a role in the fleet, or an event that affects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// What is there all the time.
+pub enum Section {
+    /// A role that exists all the time.
     Role(&'static str),
-    /// What happens.
+    /// An event.
     Event(&'static str),
 }
 
-/// Whether the cost grows with machines and planners, or with asks.
+/// Whether the cost grows with machines and planners, or with requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Spent while no ask comes, or growing with machines or planners.
+    /// Incurred without any requests, or growing with machines or planners.
     Control,
-    /// Growing with asks.
+    /// Growing with requests.
     Service,
 }
 
-/// What is spent.
+/// The resource that is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
-    /// What is kept.
+    /// Stored state.
     State,
     /// Messages and their bytes.
     Messages,
@@ -40,87 +40,96 @@
     Processor,
     /// Resident memory.
     Memory,
-    /// Time until something is done.
+    /// Time until an operation completes.
     Time,
 }
 
-/// The size at which a row is read.
+/// The size at which a row is evaluated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Size {
-    /// A size of the target.
+    /// A size from [`targets`].
     Target(f64),
-    /// As many planners as the fleet needs ([`super::page::planners`]).
+    /// The number of planners that the fleet needs ([`super::page::planners`]).
     Planners,
-    /// The tasks that stand at one of them.
-    TasksOfPlanner,
+    /// The number of running tasks of one of these planners.
+    TasksPerPlanner,
 }
 
-/// What a row may cost.
+/// The upper limit of a row's value.
 #[derive(Clone, Copy, Debug)]
 pub struct Bound {
-    /// The most, in the row's unit.
-    pub most: f64,
-    /// Who says so.
-    pub by: &'static str,
+    /// The limit, in the unit of the row.
+    pub limit: f64,
+    /// The origin of the limit.
+    pub set_by: &'static str,
 }
 
 /// One row of the page.
 #[derive(Clone, Copy, Debug)]
 pub struct Row {
-    /// Names the row for the table of what is missing.
+    /// Identifies the row for the table of missing mechanisms.
     pub id: &'static str,
-    /// Where it stands.
-    pub place: Place,
+    /// The section in which the row is shown.
+    pub section: Section,
     /// Control or service.
     pub kind: Kind,
-    /// What is spent.
+    /// The resource that is used.
     pub resource: Resource,
-    /// What it is, in words.
+    /// A description of the cost.
     pub what: &'static str,
-    /// The figure.
+    /// The figure that measures it.
     pub reading: Reading,
-    /// The size.
+    /// The size at which the figure is evaluated.
     pub size: Size,
-    /// The bound, where there is one.
+    /// The bound, if there is one.
     pub bound: Option<Bound>,
-    /// The module that carries it.
+    /// The module that causes the cost.
     pub module: &'static str,
 }
 
 const MACHINES: Size = Size::Target(targets::MACHINES);
 const TEAMS: Size = Size::Target(targets::TEAMS);
 
-const PROCESSOR: Bound = Bound { most: 100.0 * control::PROCESSOR_SHARE, by: "operators" };
-const MEMORY: Bound = Bound { most: control::MEMORY_MB, by: "operators" };
-const BYTES: Bound = Bound { most: control::BYTES_PER_S, by: "operators" };
+const PROCESSOR: Bound = Bound { limit: 100.0 * control::PROCESSOR_SHARE, set_by: "operators" };
+const MEMORY: Bound = Bound { limit: control::MEMORY_MB, set_by: "operators" };
+const BYTES: Bound = Bound { limit: control::BYTES_PER_S, set_by: "operators" };
 
 /// Bytes in a megabyte.
 const MEGABYTE: f64 = 1024.0 * 1024.0;
-/// KiB of a megabyte.
+/// KiB in a megabyte.
 const KIB_IN_MB: f64 = 1024.0;
-/// Hundredths of a core, of a share of one.
+/// Converts a share of a core to percent.
 const PERCENT: f64 = 100.0;
-/// Hundredths of a core, of milliseconds a second.
+/// Converts milliseconds per second to percent of a core.
 const PERCENT_OF_MS: f64 = PERCENT / 1e3;
-/// Hundredths of a core, of microseconds a second.
+/// Converts microseconds per second to percent of a core.
 const PERCENT_OF_US: f64 = PERCENT / 1e6;
-/// Share of the machines that a zone has.
+/// The share of the machines that are in one zone.
 const ZONE_SHARE: f64 = 1.0 / targets::ZONES;
 
-const fn reading(slope: &'static str, figure: &'static str, times: f64, unit: &'static str) -> Reading {
-    Reading { slope, figure, plus: None, times, times_size: false, unit }
+/// A figure times a constant factor.
+const fn reading(slope: &'static str, figure: &'static str, multiplier: f64, unit: &'static str) -> Reading {
+    Reading { slope, figure, added_figure: None, multiplier, multiplied_by_size: false, unit }
 }
 
-/// What comes with each unit of the size, so that it is multiplied by the size as well.
-const fn each(slope: &'static str, figure: &'static str, times: f64, unit: &'static str) -> Reading {
-    Reading { slope, figure, plus: None, times, times_size: true, unit }
+/// A figure per unit of the size, so that it is also multiplied by the size.
+const fn per_unit(slope: &'static str, figure: &'static str, multiplier: f64, unit: &'static str) -> Reading {
+    Reading { slope, figure, added_figure: None, multiplier, multiplied_by_size: true, unit }
 }
 
-const fn both(slope: &'static str, figures: [&'static str; 2], unit: &'static str) -> Reading {
-    Reading { slope, figure: figures[0], plus: Some(figures[1]), times: 1.0, times_size: false, unit }
+/// The sum of two figures.
+const fn sum_of(slope: &'static str, figures: [&'static str; 2], unit: &'static str) -> Reading {
+    Reading {
+        slope,
+        figure: figures[0],
+        added_figure: Some(figures[1]),
+        multiplier: 1.0,
+        multiplied_by_size: false,
+        unit,
+    }
 }
 
-/// All rows, in the order in which they stand on the page.
+/// All rows, in the order of the page.
 pub fn all() -> impl Iterator<Item = &'static Row> {
     planner::ROWS.iter().chain(fleet::ROWS).chain(events::ROWS)
 }
--- a/lab/src/capacity/rows/events.rs
+++ b/lab/src/capacity/rows/events.rs
@@ -1,21 +1,21 @@
-//! What events need.
+//! The rows for the costs of events.
 
-use super::{each, reading, Bound, Kind, Place, Resource, Row, Size, MACHINES, ZONE_SHARE};
+use super::{per_unit, reading, Bound, Kind, Resource, Row, Section, Size, MACHINES, ZONE_SHARE};
 use crate::capacity::targets::{self, assumed};
 
-const MACHINE_LOST: Place = Place::Event("A machine lost");
-const RACK_LOST: Place = Place::Event("A rack or switch lost");
-const ZONE_LOST: Place = Place::Event("A zone lost");
-const REGION_LOST: Place = Place::Event("A region lost");
-const PLANNER_LOST: Place = Place::Event("A planner lost");
-const PEAK: Place = Place::Event("The peak");
-const RELEASE: Place = Place::Event("A release");
+const MACHINE_LOST: Section = Section::Event("A machine lost");
+const RACK_LOST: Section = Section::Event("A rack or switch lost");
+const ZONE_LOST: Section = Section::Event("A zone lost");
+const REGION_LOST: Section = Section::Event("A region lost");
+const PLANNER_LOST: Section = Section::Event("A planner lost");
+const PEAK: Section = Section::Event("The peak");
+const RELEASE: Section = Section::Event("A release");
 
-/// The rows, in the order in which they stand on the page.
+/// The rows, in the order of the page.
 pub const ROWS: &[Row] = &[
     Row {
         id: "machine-lost",
-        place: MACHINE_LOST,
+        section: MACHINE_LOST,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "one change of the list at a planner",
@@ -26,7 +26,7 @@
     },
     Row {
         id: "rack-lost",
-        place: RACK_LOST,
+        section: RACK_LOST,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "a change for each of 40 machines (question 3)",
@@ -37,22 +37,22 @@
     },
     Row {
         id: "zone-lost",
-        place: ZONE_LOST,
+        section: ZONE_LOST,
         kind: Kind::Control,
         resource: Resource::Time,
         what: "a change for each machine of a zone",
-        reading: each("list-machines", "processor time of a change", ZONE_SHARE * 1e-6, "s"),
+        reading: per_unit("list-machines", "processor time of a change", ZONE_SHARE * 1e-6, "s"),
         size: MACHINES,
         bound: None,
         module: "`state/machines`, `decide/silence`",
     },
     Row {
         id: "region-lost",
-        place: REGION_LOST,
+        section: REGION_LOST,
         kind: Kind::Control,
         resource: Resource::Time,
         what: "a change for each machine of three zones",
-        reading: each(
+        reading: per_unit(
             "list-machines",
             "processor time of a change",
             ZONE_SHARE * assumed::LARGEST_REGION_ZONES * 1e-6,
@@ -64,18 +64,18 @@
     },
     Row {
         id: "planner-lost",
-        place: PLANNER_LOST,
+        section: PLANNER_LOST,
         kind: Kind::Control,
         resource: Resource::Time,
         what: "from its start to ready, no task standing",
         reading: reading("restart-machines", "from start to ready", 1e-3, "s"),
         size: MACHINES,
-        bound: Some(Bound { most: assumed::READY_S, by: "standing test" }),
+        bound: Some(Bound { limit: assumed::READY_S, set_by: "standing test" }),
         module: "`life/mod`, `wire/platform/lists`",
     },
     Row {
         id: "planner-lost-reached",
-        place: PLANNER_LOST,
+        section: PLANNER_LOST,
         kind: Kind::Control,
         resource: Resource::Time,
         what: "from its start to all machines reached",
@@ -86,29 +86,29 @@
     },
     Row {
         id: "planner-lost-handed",
-        place: PLANNER_LOST,
+        section: PLANNER_LOST,
         kind: Kind::Control,
         resource: Resource::Time,
         what: "from the first task handed back to all taken in",
         reading: reading("restart-tasks", "from the first task to all taken in", 1e-3, "s"),
-        size: Size::TasksOfPlanner,
+        size: Size::TasksPerPlanner,
         bound: None,
         module: "`wire/platform/owners`, `state/jobs`",
     },
     Row {
         id: "planner-lost-tasks",
-        place: PLANNER_LOST,
+        section: PLANNER_LOST,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "taking back the tasks that stand at it",
         reading: reading("restart-hollow-tasks", "processor time of a restart", 1.0, "ms"),
-        size: Size::TasksOfPlanner,
+        size: Size::TasksPerPlanner,
         bound: None,
         module: "`state/jobs`, `wire/platform/owners`",
     },
     Row {
         id: "peak-cores",
-        place: PEAK,
+        section: PEAK,
         kind: Kind::Service,
         resource: Resource::Processor,
         what: "cores for 11,000 starts a second, each planner with the whole view",
@@ -124,7 +124,7 @@
     },
     Row {
         id: "release-list",
-        place: RELEASE,
+        section: RELEASE,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "what one restarted planner takes in",
--- a/lab/src/capacity/rows/fleet.rs
+++ b/lab/src/capacity/rows/fleet.rs
@@ -1,22 +1,22 @@
-//! What the parts beside a planner need: votes, configuration, the machine list, machines and clients.
+//! The rows for the costs of all other roles: voters, configuration, the machine list, machines and clients.
 
 use super::{
-    each, reading, Bound, Kind, Place, Resource, Row, Size, BYTES, MACHINES, MEGABYTE, MEMORY, PERCENT,
+    per_unit, reading, Bound, Kind, Resource, Row, Section, Size, BYTES, MACHINES, MEGABYTE, MEMORY, PERCENT,
     PERCENT_OF_MS, PERCENT_OF_US, PROCESSOR, TEAMS,
 };
 use crate::capacity::targets::{self, assumed, program};
 
-const VOTER: Place = Place::Role("Voter for leases and budgets");
-const CONFIGURATION: Place = Place::Role("Holder and carrier of the configuration");
-const LIST: Place = Place::Role("Source of the machine list");
-const MACHINE: Place = Place::Role("Machine, as a planner sees it");
-const CLIENT: Place = Place::Role("Client");
+const VOTER: Section = Section::Role("Voter for leases and budgets");
+const CONFIGURATION: Section = Section::Role("Holder and carrier of the configuration");
+const LIST: Section = Section::Role("Source of the machine list");
+const MACHINE: Section = Section::Role("Machine, as a planner sees it");
+const CLIENT: Section = Section::Role("Client");
 
-/// The rows, in the order in which they stand on the page.
+/// The rows, in the order of the page.
 pub const ROWS: &[Row] = &[
     Row {
         id: "voter-messages",
-        place: VOTER,
+        section: VOTER,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "datagrams a second in and out of the busiest planner, at rest",
@@ -27,7 +27,7 @@
     },
     Row {
         id: "voter-bytes",
-        place: VOTER,
+        section: VOTER,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "bytes a second in and out of the busiest planner, at rest",
@@ -38,7 +38,7 @@
     },
     Row {
         id: "voter-busy-bytes",
-        place: VOTER,
+        section: VOTER,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "the same while all want more than there is",
@@ -49,22 +49,22 @@
     },
     Row {
         id: "config-bytes",
-        place: CONFIGURATION,
+        section: CONFIGURATION,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "whole files, a route for each team and 86 changes of each a day",
-        reading: each("config-parse", "bytes of the file", targets::CONFIG_CHANGES_PER_TEAM_S, "bytes/s"),
+        reading: per_unit("config-parse", "bytes of the file", targets::CONFIG_CHANGES_PER_TEAM_S, "bytes/s"),
         size: TEAMS,
         bound: Some(BYTES),
         module: "`life/operators`; nothing carries files between machines",
     },
     Row {
         id: "config-processor",
-        place: CONFIGURATION,
+        section: CONFIGURATION,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "reading them and putting them in force",
-        reading: each(
+        reading: per_unit(
             "config-parse",
             "processor time until in force",
             targets::CONFIG_CHANGES_PER_TEAM_S * PERCENT_OF_MS,
@@ -76,11 +76,11 @@
     },
     Row {
         id: "config-processor-real",
-        place: CONFIGURATION,
+        section: CONFIGURATION,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "the same in a process, with signal and file",
-        reading: each(
+        reading: per_unit(
             "config-size",
             "processor time of a change",
             targets::CONFIG_CHANGES_PER_TEAM_S * PERCENT_OF_MS,
@@ -92,7 +92,7 @@
     },
     Row {
         id: "config-rate-processor",
-        place: CONFIGURATION,
+        section: CONFIGURATION,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "the same at a rate of changes, 720 routes",
@@ -103,7 +103,7 @@
     },
     Row {
         id: "config-state",
-        place: CONFIGURATION,
+        section: CONFIGURATION,
         kind: Kind::Control,
         resource: Resource::State,
         what: "what is kept of routes",
@@ -114,77 +114,82 @@
     },
     Row {
         id: "config-time",
-        place: CONFIGURATION,
+        section: CONFIGURATION,
         kind: Kind::Control,
         resource: Resource::Time,
         what: "from the write of a file to in force, one planner, the file at hand",
         reading: reading("config-size", "from write to in force", 1e-3, "s"),
         size: TEAMS,
-        bound: Some(Bound { most: targets::CONFIG_IN_FORCE_S, by: "operators" }),
+        bound: Some(Bound { limit: targets::CONFIG_IN_FORCE_S, set_by: "operators" }),
         module: "`life/mod`",
     },
     Row {
         id: "config-rate-time",
-        place: CONFIGURATION,
+        section: CONFIGURATION,
         kind: Kind::Control,
         resource: Resource::Time,
         what: "from the last write to in force at that rate, 720 routes",
         reading: reading("config-rate", "from the last write to in force", 1e-3, "s"),
         size: Size::Target(targets::CONFIG_CHANGES_PER_S),
-        bound: Some(Bound { most: targets::CONFIG_IN_FORCE_S, by: "operators" }),
+        bound: Some(Bound { limit: targets::CONFIG_IN_FORCE_S, set_by: "operators" }),
         module: "`life/mod`",
     },
     Row {
         id: "config-file",
-        place: CONFIGURATION,
+        section: CONFIGURATION,
         kind: Kind::Control,
         resource: Resource::State,
         what: "the file",
         reading: reading("config-parse", "bytes of the file", 1.0, "bytes"),
         size: TEAMS,
-        bound: Some(Bound { most: program::FILE_BYTES, by: "program" }),
+        bound: Some(Bound { limit: program::FILE_BYTES, set_by: "program" }),
         module: "`document`",
     },
     Row {
         id: "list-whole",
-        place: LIST,
+        section: LIST,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "the whole list in one line, at each start and each break",
         reading: reading("list-machines", "bytes of a whole list", 1.0, "bytes"),
         size: MACHINES,
-        bound: Some(Bound { most: program::LIST_LINE_BYTES, by: "program" }),
+        bound: Some(Bound { limit: program::LIST_LINE_BYTES, set_by: "program" }),
         module: "`wire/platform/board`, `wire/platform/lists`",
     },
     Row {
         id: "list-whole-processor",
-        place: LIST,
+        section: LIST,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "a whole list at a planner",
         reading: reading("list-machines", "processor time of a whole list", 1.0, "ms"),
         size: MACHINES,
-        bound: Some(Bound { most: targets::DRAIN_MS, by: "rules: drains" }),
+        bound: Some(Bound { limit: targets::DRAIN_MS, set_by: "rules: drains" }),
         module: "`wire/platform/lists`, `state/machines`",
     },
     Row {
         id: "list-bytes",
-        place: LIST,
+        section: LIST,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "changes: machines that come or go (question 1)",
-        reading: each("list-machines", "bytes of a change", assumed::LIST_CHANGES_PER_MACHINE_S, "bytes/s"),
+        reading: per_unit(
+            "list-machines",
+            "bytes of a change",
+            assumed::LIST_CHANGES_PER_MACHINE_S,
+            "bytes/s",
+        ),
         size: MACHINES,
         bound: Some(BYTES),
         module: "`wire/platform/lists`",
     },
     Row {
         id: "list-processor",
-        place: LIST,
+        section: LIST,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "the same at a planner",
-        reading: each(
+        reading: per_unit(
             "list-machines",
             "processor time of a change",
             assumed::LIST_CHANGES_PER_MACHINE_S * PERCENT_OF_US,
@@ -196,11 +201,11 @@
     },
     Row {
         id: "list-free-bytes",
-        place: LIST,
+        section: LIST,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "changes if each machine's free room is told every 10 s (question 1)",
-        reading: each(
+        reading: per_unit(
             "list-machines",
             "bytes of a change",
             assumed::LIST_FREE_CHANGES_PER_MACHINE_S,
@@ -212,7 +217,7 @@
     },
     Row {
         id: "machine-state",
-        place: MACHINE,
+        section: MACHINE,
         kind: Kind::Control,
         resource: Resource::State,
         what: "what a planner keeps of one machine",
@@ -223,7 +228,7 @@
     },
     Row {
         id: "machine-messages",
-        place: MACHINE,
+        section: MACHINE,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "messages a second of one planner at rest to all its machines",
@@ -234,13 +239,13 @@
     },
     Row {
         id: "client-answer",
-        place: CLIENT,
+        section: CLIENT,
         kind: Kind::Service,
         resource: Resource::Time,
         what: "p99 of the answer at 200 asks a second (question 6)",
         reading: reading("ask-machines", "answer at 200 a second, p99", 1.0, "ms"),
         size: MACHINES,
-        bound: Some(Bound { most: assumed::ANSWER_MS, by: "assumed" }),
+        bound: Some(Bound { limit: assumed::ANSWER_MS, set_by: "assumed" }),
         module: "`wire/platform/owners`, `state/jobs`",
     },
 ];
--- a/lab/src/capacity/rows/planner.rs
+++ b/lab/src/capacity/rows/planner.rs
@@ -1,17 +1,17 @@
-//! What a planner needs.
+//! The rows for the costs of a planner.
 
 use super::{
-    both, reading, Kind, Place, Resource, Row, Size, BYTES, KIB_IN_MB, MACHINES, MEGABYTE, MEMORY, PERCENT,
-    PROCESSOR, TEAMS,
+    reading, sum_of, Kind, Resource, Row, Section, Size, BYTES, KIB_IN_MB, MACHINES, MEGABYTE, MEMORY,
+    PERCENT, PROCESSOR, TEAMS,
 };
 
-const PLANNER: Place = Place::Role("Planner");
+const PLANNER: Section = Section::Role("Planner");
 
-/// The rows, in the order in which they stand on the page.
+/// The rows, in the order of the page.
 pub const ROWS: &[Row] = &[
     Row {
         id: "rest-processor",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "processor time at rest",
@@ -22,7 +22,7 @@
     },
     Row {
         id: "rest-memory",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::Memory,
         what: "resident memory",
@@ -33,18 +33,18 @@
     },
     Row {
         id: "rest-bytes",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "bytes a second in and out, at rest",
-        reading: both("rest-machines", ["bytes in at rest", "bytes out at rest"], "bytes/s"),
+        reading: sum_of("rest-machines", ["bytes in at rest", "bytes out at rest"], "bytes/s"),
         size: MACHINES,
         bound: Some(BYTES),
         module: "`wire/platform/boxes`",
     },
     Row {
         id: "rest-today",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "processor time at rest with 1,024 descriptors, where connections go round",
@@ -55,7 +55,7 @@
     },
     Row {
         id: "state-machines",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::State,
         what: "what is kept of all machines",
@@ -66,40 +66,40 @@
     },
     Row {
         id: "state-tasks",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::State,
         what: "what is kept of the tasks that stand at one planner",
         reading: reading("state-tasks", "bytes of state", 1.0 / MEGABYTE, "MB"),
-        size: Size::TasksOfPlanner,
+        size: Size::TasksPerPlanner,
         bound: Some(MEMORY),
         module: "`state/jobs`",
     },
     Row {
         id: "rest-tasks-memory",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::Memory,
         what: "resident memory with them, 400 machines",
         reading: reading("rest-tasks", "resident memory", 1.0 / KIB_IN_MB, "MB"),
-        size: Size::TasksOfPlanner,
+        size: Size::TasksPerPlanner,
         bound: Some(MEMORY),
         module: "`state/jobs`",
     },
     Row {
         id: "rest-tasks-processor",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "processor time at rest with the tasks that stand at one planner",
         reading: reading("rest-tasks", "processor time at rest", PERCENT, "% of a core"),
-        size: Size::TasksOfPlanner,
+        size: Size::TasksPerPlanner,
         bound: Some(PROCESSOR),
         module: "`state/jobs`, `state/alarms`",
     },
     Row {
         id: "members-bytes",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::Messages,
         what: "membership and budgets, in the mean, while all want more than there is",
@@ -110,7 +110,7 @@
     },
     Row {
         id: "members-processor",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Control,
         resource: Resource::Processor,
         what: "processor time at rest in a fleet, 8 machines",
@@ -121,7 +121,7 @@
     },
     Row {
         id: "ask-processor",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Service,
         resource: Resource::Processor,
         what: "processor time of an ask, beside that at rest",
@@ -132,7 +132,7 @@
     },
     Row {
         id: "pick-machines",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Service,
         resource: Resource::Processor,
         what: "machines looked at for one pick",
@@ -143,7 +143,7 @@
     },
     Row {
         id: "gang-processor",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Service,
         resource: Resource::Processor,
         what: "processor time of a gang of 128",
@@ -154,7 +154,7 @@
     },
     Row {
         id: "admission-routes",
-        place: PLANNER,
+        section: PLANNER,
         kind: Kind::Service,
         resource: Resource::Processor,
         what: "admission of an ask, a route for each team",
--- a/lab/src/capacity/slopes.rs
+++ b/lab/src/capacity/slopes.rs
@@ -1,4 +1,5 @@
-//! The slopes by name. A slope is measured by a function of its own module; slopes that come from the same runs share one.
+//! The table of all slopes by name. Each module provides a function that measures its slopes; slopes that
+//! come from the same runs share a function.
 
 use super::record::{Run, Slope};
 use super::{
@@ -9,45 +10,45 @@
 use std::io;
 use std::path::PathBuf;
 
-/// How slopes are measured.
+/// Options for measuring slopes.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Smaller sizes, for minutes.
+    /// Whether to use the smaller sizes, which take only minutes.
     pub short: bool,
-    /// Runs at each size but the greatest.
+    /// Runs at each size. Slopes that use [`Options::runs`] do one fewer at the largest size.
     pub repeats: usize,
-    /// The planner's program, for slopes that start processes.
+    /// The planner program, for slopes that start planner processes.
     pub program: Program,
-    /// The laboratory's own program, for hollow machines.
+    /// The path of this program (`burlhook-lab`), which is started for hollow machines.
     pub laboratory: PathBuf,
-    /// Where and when, as it goes into the records.
+    /// The description of this run that goes into the records.
     pub run: Run,
 }
 
 impl Options {
-    /// The sizes of a slope, each with its count of runs: at the greatest one run less.
+    /// The sizes of a slope, each with its number of runs: one fewer at the largest size, but at least one.
     pub fn runs(&self, sizes: &[usize], short: &[usize]) -> Vec<(usize, usize)> {
         let sizes = if self.short { short } else { sizes };
-        let most = sizes.iter().max();
-        let repeats = |size| if Some(size) == most { self.repeats - 1 } else { self.repeats };
+        let largest = sizes.iter().max();
+        let repeats = |size| if Some(size) == largest { self.repeats - 1 } else { self.repeats };
         sizes.iter().map(|size| (*size, repeats(size).max(1))).collect()
     }
 }
 
-/// Measures slopes, with a line on standard error for each run.
+/// Measures slopes and prints a line to standard error for each run.
 pub type Measure = fn(&Options) -> io::Result<Vec<Slope>>;
 
-/// A function and the slopes that it measures.
+/// A function that measures one or more slopes.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    /// The names of its slopes, as their records have them.
+    /// The names of the slopes, as in their records.
     pub names: &'static [&'static str],
-    /// Measures them all.
+    /// Measures all of these slopes.
     pub measure: Measure,
 }
 
 /// All slopes, in the order in which they are measured.
-pub const TABLE: &[Entry] = &[
+pub const SLOPES: &[Entry] = &[
     Entry { names: machines::NAMES, measure: machines::measure },
     Entry { names: machines::TODAY, measure: machines::measure_today },
     Entry { names: tasks::NAMES, measure: tasks::measure },
@@ -76,15 +77,15 @@
     Entry { names: &[rest_hollow::LADDER.name], measure: |options| rest_hollow::LADDER.measure(options) },
 ];
 
-/// The entries that measure the named slopes, each once; all of them if none is named.
+/// Selects the entries that measure the named slopes, each once; all entries if no name is given.
 ///
 /// # Errors
-/// If there is no slope of a name.
+/// If a name is not that of a slope.
 pub fn select(table: &'static [Entry], names: &[String]) -> io::Result<Vec<&'static Entry>> {
     let known = |name: &String| table.iter().any(|entry| entry.names.contains(&name.as_str()));
     if let Some(unknown) = names.iter().find(|name| !known(name)) {
         let all: Vec<&str> = table.iter().flat_map(|entry| entry.names).copied().collect();
-        return Err(io::Error::other(format!("no slope is named {unknown}; there are: {}", all.join(", "))));
+        return Err(io::Error::other(format!("unknown slope {unknown}; known slopes: {}", all.join(", "))));
     }
     let wanted = |entry: &&Entry| names.is_empty() || names.iter().any(|n| entry.names.contains(&n.as_str()));
     Ok(table.iter().filter(wanted).collect())
