--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -161,19 +161,19 @@
 
 /// Checks that a figure can be fitted.
 fn check(figure: &Figure) -> Result<(), FitError> {
-    let named = || figure.name.clone();
+    let figure_name = || figure.name.clone();
     let sizes: Vec<f64> = figure.points.iter().map(|point| point.size).collect();
     if sizes.len() < MIN_SIZES {
-        return Err(FitError::TooFewSizes { figure: named(), has: sizes.len() });
+        return Err(FitError::TooFewSizes { figure: figure_name(), has: sizes.len() });
     }
     let ascending = sizes.windows(2).all(|pair| pair[0] < pair[1]);
     if !ascending || sizes[0] < 0.0 || !sizes.iter().all(|size| size.is_finite()) {
-        return Err(FitError::SizesOutOfOrder { figure: named() });
+        return Err(FitError::SizesOutOfOrder { figure: figure_name() });
     }
     let usable =
         |point: &Point| !point.values.is_empty() && point.values.iter().all(|value| value.is_finite());
     match figure.points.iter().find(|point| !usable(point)) {
-        Some(point) => Err(FitError::NotFinite { figure: named(), size: point.size }),
+        Some(point) => Err(FitError::NotFinite { figure: figure_name(), size: point.size }),
         None => Ok(()),
     }
 }
@@ -188,9 +188,9 @@
 
     let mut matrix = DMatrix::zeros(values, coefficients);
     let mut target = DVector::zeros(values);
-    let each =
+    let values_by_size =
         points.iter().enumerate().flat_map(|(at, point)| point.values.iter().map(move |value| (at, *value)));
-    for (index, (at, value)) in each.enumerate() {
+    for (index, (at, value)) in values_by_size.enumerate() {
         matrix.set_row(index, &(rows[at].transpose() / scales[at]));
         target[index] = value / scales[at];
     }
@@ -274,8 +274,9 @@
         if repeats < EXACT_TOLERANCE.powi(2) {
             return sizes >= EXACT_TOLERANCE.powi(2);
         }
-        let spread = FisherSnedecor::new(self.sizes_dof, self.repeats_dof);
-        spread.is_ok_and(|spread| spread.cdf(sizes / repeats) > 1.0 - LACK_OF_FIT_SIGNIFICANCE)
+        let f_distribution = FisherSnedecor::new(self.sizes_dof, self.repeats_dof);
+        f_distribution
+            .is_ok_and(|f_distribution| f_distribution.cdf(sizes / repeats) > 1.0 - LACK_OF_FIT_SIGNIFICANCE)
     }
 }
 
--- a/lab/src/capacity/fit/tests.rs
+++ b/lab/src/capacity/fit/tests.rs
@@ -27,8 +27,8 @@
     }
 }
 
-fn near(value: f64, target: f64) -> bool {
-    (value - target).abs() <= 1e-6 * target.abs().max(1e-9)
+fn near(value: f64, expected: f64) -> bool {
+    (value - expected).abs() <= 1e-6 * expected.abs().max(1e-9)
 }
 
 #[test]
--- a/lab/src/capacity/ladder.rs
+++ b/lab/src/capacity/ladder.rs
@@ -44,7 +44,7 @@
 pub struct Ladder {
     /// Its name.
     pub name: &'static str,
-    /// The question that it answers.
+    /// The question that the slope answers.
     pub question: &'static str,
     /// The size that grows.
     pub size: &'static str,
--- a/lab/src/capacity/ladder/tests.rs
+++ b/lab/src/capacity/ladder/tests.rs
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn counts_have_one_value_and_times_one_a_run() {
-    let slopes = ladder(steady).measure(&options()).expect("it runs");
-    let of = |name: &str| slopes[0].figure(name).expect("it is there").points.clone();
+fn counts_have_one_value_and_times_have_one_per_run() {
+    let slopes = ladder(steady).measure(&options()).expect("all runs succeed");
+    let of = |name: &str| slopes[0].figure(name).expect("the figure exists").points.clone();
     assert_eq!(of("count").iter().map(|p| p.values.len()).collect::<Vec<_>>(), [1, 1]);
     assert_eq!(of("time").iter().map(|p| p.values.len()).collect::<Vec<_>>(), [3, 3]);
     assert!(ladder(steady).value(2, "nothing").is_err());
--- a/lab/src/capacity/page/tests.rs
+++ b/lab/src/capacity/page/tests.rs
@@ -24,7 +24,7 @@
 
 fn slope(name: &str, mut figures: Vec<Figure>) -> Slope {
     for figure in &mut figures {
-        figure.fit().expect("sizes enough");
+        figure.fit().expect("enough sizes for a fit");
     }
     let run = Run { date: "2026-12-02".into(), commit: "abc".into(), machine: "test".into(), short: false };
     let held = BTreeMap::new();
@@ -39,7 +39,7 @@
 
 /// Records of a planner that at rest uses 0.0099% of a core per machine, and 8 MB of memory plus 7.9 KB per
 /// machine; a request takes 0.4 ms plus 0.2 microseconds per machine.
-fn planner() -> Records {
+fn planner_records() -> Records {
     records(vec![
         slope(
             "rest-machines",
@@ -92,7 +92,7 @@
 
 #[test]
 fn the_size_that_exceeds_a_bound_is_found_from_the_fit() {
-    let records = planner();
+    let records = planner_records();
     let source = of("rest-machines", "processor time at rest", 100.0).source(&records).unwrap().unwrap();
     let Crossing::At { size, extrapolated } = source.crossing(1.5, 18_000.0) else {
         panic!("bound not exceeded")
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_size_that_was_not_run_is_an_extrapolation() {
-    let records = planner();
+    let records = planner_records();
     let source = of("rest-machines", "processor time at rest", 100.0).source(&records).unwrap().unwrap();
     assert_eq!(source.at(10_000.0).origin, Origin::Fitted);
     assert_eq!(source.at(10_000.0).measured, Some(99.0));
@@ -134,7 +134,7 @@
 
 #[test]
 fn too_few_sizes_are_shown_as_measured() {
-    let mut records = planner();
+    let mut records = planner_records();
     let figure = &mut records.slopes.get_mut("rest-machines").unwrap().figures[0];
     figure.points.truncate(3);
     figure.fit = None;
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_record_without_the_figure_is_refused() {
-    let mut records = planner();
+    let mut records = planner_records();
     records.slopes.get_mut("ask-machines").unwrap().figures.pop();
     let refused = render(&records).unwrap_err().to_string();
     assert!(refused.contains("200 a second, p99") && refused.contains("an ask, without rest"), "{refused}");
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_fit_that_does_not_match_its_points_is_refused() {
-    let mut records = planner();
+    let mut records = planner_records();
     records.slopes.get_mut("rest-machines").unwrap().figures[0].points[2].values = vec![0.041];
     let refused = render(&records).unwrap_err();
     assert!(matches!(refused, PageError::OtherFit { .. }), "{refused}");
@@ -177,7 +177,7 @@
 
 #[test]
 fn planner_counts_follow_from_the_costs_of_one_planner() {
-    let records = planner();
+    let records = planner_records();
     let costs = Costs::read(&records).unwrap().unwrap();
     // At 20 machines: (0.7 - 0.00198) of a second for 0.404 ms each.
     let starts = costs.starts_per_planner(20.0);
@@ -203,7 +203,7 @@
 
 #[test]
 fn missing_mechanisms_are_listed_by_the_size_at_which_they_are_needed() {
-    let tables = render(&planner()).unwrap();
+    let tables = render(&planner_records()).unwrap();
     let at = |name: &str| tables.find(name).unwrap_or_else(|| panic!("the page lacks {name}"));
     assert!(tables.contains("**152** machines (processor time at rest)"), "{tables}");
     assert!(at("Teams' quotas") < at("A planner serves a bounded part"));
@@ -219,7 +219,7 @@
         before: vec![point(20.0, &[7.0, 9.0, 8.0]), point(18_000.0, &[400.0])],
         after: vec![point(20.0, &[6.0])],
     };
-    let run = planner().slopes["ask-machines"].run.clone();
+    let run = planner_records().slopes["ask-machines"].run.clone();
     let commits = vec!["abc".to_string(), "def".to_string()];
     let setting = Setting { listed: 16, sockets: 40_000 };
     let comparison = Comparison {
@@ -232,7 +232,7 @@
         figures: vec![figure],
     };
     let comparison = Some(comparison);
-    let tables = render(&Records { comparison, ..planner() }).unwrap();
+    let tables = render(&Records { comparison, ..planner_records() }).unwrap();
     assert!(tables.contains("| figure | 20 | 18,000 |"), "{tables}");
     assert!(tables.contains("| answer, p99, ms | 8 and 6 | 400 and not measured |"), "{tables}");
 }
@@ -240,7 +240,7 @@
 /// A cost per event whose rate is proportional to the machines is multiplied by the number of machines.
 #[test]
 fn a_cost_per_unit_of_the_size_is_multiplied_by_the_size() {
-    let records = planner();
+    let records = planner_records();
     let reading =
         Reading { multiplied_by_size: true, ..of("ask-machines", "answer at 200 a second, p99", 0.5) };
     let source = reading.source(&records).unwrap().unwrap();
@@ -252,7 +252,7 @@
 
 #[test]
 fn two_figures_of_the_same_runs_are_added_run_by_run() {
-    let mut records = planner();
+    let mut records = planner_records();
     let figures = &mut records.slopes.get_mut("rest-machines").unwrap().figures;
     let bytes_in = figures.iter_mut().find(|figure| figure.name == "bytes in at rest").unwrap();
     bytes_in.points[0].values = vec![80.0, 90.0];
@@ -266,11 +266,11 @@
 
 #[test]
 fn hollow_figures_are_compared_with_real_ones_at_sizes_that_both_ran() {
-    let mut records = planner();
+    let mut records = planner_records();
     let half = figure("messages to machines a second", "messages/s", |n| n / 2.0);
     let mut hollow = slope("rest-hollow", vec![half]);
     hollow.figures[0].points[1].size = 200.0;
-    hollow.figures[0].fit().expect("sizes enough");
+    hollow.figures[0].fit().expect("enough sizes for a fit");
     records.slopes.insert(hollow.name.clone(), hollow);
     let tables = render(&records).unwrap();
     assert!(tables.contains("| 400 machines | 200 messages/s | 400 messages/s | 2 |"), "{tables}");
@@ -294,7 +294,7 @@
 
 #[test]
 fn a_count_that_is_far_off_needs_a_reason() {
-    let mut records = planner();
+    let mut records = planner_records();
     let figure = &mut records.slopes.get_mut("rest-machines").unwrap().figures[0];
     figure.points.last_mut().unwrap().values = vec![3.0];
     figure.fit().unwrap();
