--- a/lab/src/capacity/ladder/tests.rs
+++ b/lab/src/capacity/ladder/tests.rs
@@ -1,4 +1,4 @@
-//! Guards the records: a count that differs between runs is an error, and times are kept one a run.
+//! A count that differs between runs is an error, and the record contains one time for each run.
 
 use super::*;
 use crate::capacity::record::Run;
@@ -38,13 +38,13 @@
 #[test]
 fn a_count_that_differs_between_runs_is_an_error() {
     let error = ladder(drifting).measure(&options()).expect_err("the count differs");
-    assert!(error.to_string().contains("count is 2 where it was [1.0]"), "{error}");
+    assert!(error.to_string().contains("count is 2, but was [1.0] in an earlier run"), "{error}");
 }
 
 #[test]
-fn counts_have_one_value_and_times_one_a_run() {
-    let slopes = ladder(steady).measure(&options()).expect("it runs");
-    let of = |name: &str| slopes[0].figure(name).expect("it is there").points.clone();
+fn counts_have_one_value_and_times_have_one_per_run() {
+    let slopes = ladder(steady).measure(&options()).expect("all runs succeed");
+    let of = |name: &str| slopes[0].figure(name).expect("the figure exists").points.clone();
     assert_eq!(of("count").iter().map(|p| p.values.len()).collect::<Vec<_>>(), [1, 1]);
     assert_eq!(of("time").iter().map(|p| p.values.len()).collect::<Vec<_>>(), [3, 3]);
     assert!(ladder(steady).value(2, "nothing").is_err());
