--- a/lab/src/capacity/config_parse.rs
+++ b/lab/src/capacity/config_parse.rs
@@ -1,7 +1,7 @@
 //! What it costs to read an operators' file and to put it in force, against its routes.
 
 use super::count::{cost_of, needs_counts};
-use super::hollow_planner::{failed, operators, HollowPlanner};
+use super::hollow_planner::{operators, rejected, HollowPlanner};
 use super::ladder::{Ladder, Sample};
 use std::io;
 
@@ -24,7 +24,7 @@
     let text = operators::routes(routes);
     let mut hollow = HollowPlanner::new()?;
     let (read, reading) = cost_of(|| hollow.planner.check(&text));
-    read.map_err(failed)?;
+    read.map_err(rejected)?;
     hollow.configure(&text)?;
     hollow.take_cost();
     // The same once more, as a reload finds it.
--- a/lab/src/capacity/hollow_machine/handle.rs
+++ b/lab/src/capacity/hollow_machine/handle.rs
@@ -1,4 +1,4 @@
-//! A process of hollow machines, as the process that started it sees it.
+//! Starts and queries a process of hollow machines.
 
 use super::plan::{address, Counts, Plan, Ports};
 use serde::de::DeserializeOwned;
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// A running process of hollow machines; it ends when this is dropped.
+/// A running process of hollow machines; dropping this kills it.
 pub struct HollowMachines {
     child: Child,
     pipes: RefCell<Pipes>,
@@ -24,25 +24,26 @@
     fn read<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         let mut line = String::new();
         if self.from.read_line(&mut line)? == 0 {
-            return Err(io::Error::other("the process of the hollow machines ended"));
+            return Err(io::Error::other("the hollow machines' process closed its standard output"));
         }
         serde_json::from_str(&line).map_err(io::Error::other)
     }
 }
 
 impl HollowMachines {
-    /// Starts them; the program is that of the laboratory.
+    /// Starts the process from the laboratory's program.
     ///
     /// # Errors
-    /// If the process cannot be started or does not listen.
+    /// If the process cannot be started or does not report its ports.
     pub fn start(laboratory: &Path, plan: &Plan) -> io::Result<HollowMachines> {
         let plan = serde_json::to_string(plan).map_err(io::Error::other)?;
         let mut command = Command::new(laboratory);
         command.args(["capacity", "hollow-machines", &plan]).stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn()?;
-        let lacks = || io::Error::other("a pipe is missing");
-        let to = child.stdin.take().ok_or_else(lacks)?;
-        let from = BufReader::new(child.stdout.take().ok_or_else(lacks)?);
+        let missing_pipe =
+            || io::Error::other("the hollow machines' process has no pipe for standard input or output");
+        let to = child.stdin.take().ok_or_else(missing_pipe)?;
+        let from = BufReader::new(child.stdout.take().ok_or_else(missing_pipe)?);
         let mut pipes = Pipes { to, from };
         let ports = pipes.read()?;
         Ok(HollowMachines { child, pipes: RefCell::new(pipes), ports })
@@ -53,15 +54,15 @@
         (0..count).map(|machine| address(machine, self.ports.machines)).collect()
     }
 
-    /// Where the machine list is.
+    /// The address of the machine list's server.
     pub fn list(&self) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::LOCALHOST, self.ports.list))
     }
 
-    /// What they counted so far.
+    /// The machines' counts since their start.
     ///
     /// # Errors
-    /// If the process is gone.
+    /// If the process has ended.
     pub fn counts(&self) -> io::Result<Counts> {
         let mut pipes = self.pipes.borrow_mut();
         writeln!(pipes.to, "counts")?;
@@ -72,7 +73,7 @@
 
 impl Drop for HollowMachines {
     fn drop(&mut self) {
-        // It holds no state that an orderly end would save.
+        // The process has no state to save, so it is killed without a shutdown.
         let _ = (self.child.kill(), self.child.wait());
     }
 }
--- a/lab/src/capacity/hollow_machine/message.rs
+++ b/lab/src/capacity/hollow_machine/message.rs
@@ -1,33 +1,34 @@
-//! The lines that machines and planners exchange, in the form of the stand-in machine.
+//! The lines that planners and hollow machines exchange, in the format of the stand-in machine
+//! (`crate::node`).
 
 use serde::Deserialize;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Causes of releases.
+/// Reason codes of `stop` lines.
 pub mod cause {
-    /// The task came to its end.
-    pub const OVER: u8 = 16;
-    /// It was stopped.
+    /// The task ended by itself.
+    pub const ENDED: u8 = 16;
+    /// The planner stopped the task.
     pub const CANCELLED: u8 = 31;
-    /// No slot is free.
-    pub const FULL: u8 = 34;
-    /// Nothing is known of it.
-    pub const MOOT: u8 = 102;
+    /// The machine refuses the task.
+    pub const REFUSED: u8 = 34;
+    /// The machine does not hold the task.
+    pub const UNKNOWN_TASK: u8 = 102;
 }
 
-/// What a planner says.
+/// A line from a planner.
 #[derive(Debug, Deserialize)]
 pub struct Line<'a> {
-    /// The type.
+    /// The message type.
     pub kind: &'a str,
-    /// The task's id, or a test's number.
+    /// The task's id in hexadecimal digits, or the number of a health check.
     #[serde(default)]
     pub uid: &'a str,
 }
 
 impl Line<'_> {
-    /// The id as a number.
+    /// The task's id as a number; 0 if it cannot be parsed.
     pub fn job(&self) -> u64 {
         u64::from_str_radix(self.uid, 16).unwrap_or_default()
     }
@@ -52,13 +53,13 @@
     line
 }
 
-/// The answer that a task stands.
+/// The message that a task has started.
 pub fn running(job: u64, machine: SocketAddr) -> Vec<u8> {
     let body = format!("at {machine}");
     line(&json!({"kind": "running", "uid": format!("{job:016x}"), "meta": {}, "body": body}))
 }
 
-/// A refusal or a release.
+/// A refusal, or the release of a task that ended, was stopped or is unknown.
 pub fn stop(job: u64, reason: u8, note: Option<&str>, load: Load) -> Vec<u8> {
     let mut meta = json!({"load": load.text()});
     if let Some(note) = note {
@@ -67,7 +68,7 @@
     line(&json!({"kind": "stop", "uid": format!("{job:016x}"), "meta": meta, "reason": reason}))
 }
 
-/// The answer to a test.
+/// The answer to a health check.
 pub fn checked(uid: &str, load: Load) -> Vec<u8> {
     line(&json!({"kind": "checked", "uid": uid, "meta": {"load": load.text()}, "reason": 1}))
 }
--- a/lab/src/capacity/hollow_machine/mod.rs
+++ b/lab/src/capacity/hollow_machine/mod.rs
@@ -1,9 +1,11 @@
-//! Hollow machines: up to some ten thousands of machines in one process behind one listener, each at an address of its
-//! own in 127.0.0.0/8. They speak the machine protocol as the stand-in machine does, and hold no work beyond a timer of
-//! each task's life. The process is apart from the planner's and from the load's, so that the figures of each are its own.
+//! Hollow machines: tens of thousands of simulated machines in one process behind one listener, each with its
+//! own address in 127.0.0.0/8. They implement the machine protocol as the stand-in machine does; a task is
+//! nothing but a timer. They run in a process of their own, apart from the planner and the load generator, so
+//! that the processor time and memory of each can be measured separately.
 //!
-//! The process is told its [`Plan`] on its command line, writes its [`Ports`] as the first line of its standard output,
-//! answers each line `counts` on its standard input with its [`Counts`], and ends with its standard input.
+//! The process reads its [`Plan`] from its command line, writes its [`Ports`] as the first line of its
+//! standard output, answers each line `counts` on its standard input with its [`Counts`], and exits when its
+//! standard input is closed.
 
 mod connection;
 mod handle;
--- a/lab/src/capacity/hollow_machine/process.rs
+++ b/lab/src/capacity/hollow_machine/process.rs
@@ -1,8 +1,8 @@
-//! The process of hollow machines.
+//! The main loop of a process of hollow machines.
 
-use super::connection::{self, Place};
+use super::connection::{self, ConnectionId};
 use super::list;
-use super::plan::{number, Plan, Ports};
+use super::plan::{machine_at, Plan, Ports};
 use super::state::Fleet;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::BTreeSet;
@@ -11,23 +11,23 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::net::TcpListener;
 
-/// Connections that wait to be taken.
+/// Connections that may wait to be accepted.
 const BACKLOG: i32 = 4_096;
-/// The device to which the listener of all addresses is bound, so that nothing outside the machine reaches it.
+/// The network device of the listener, which is bound to all addresses: keeps other hosts from connecting.
 const LOOPBACK_DEVICE: &[u8] = b"lo";
 
-/// The machines, as all connections share them.
+/// The state of all machines, shared by all connections.
 #[derive(Clone)]
 pub struct Shared(Arc<Mutex<Fleet>>);
 
 impl Shared {
-    /// The machines, for a moment.
+    /// Locks the state.
     pub fn lock(&self) -> MutexGuard<'_, Fleet> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A listener on all loopback addresses at once.
+/// Opens a listener on all addresses of the loopback device.
 fn listen() -> io::Result<std::net::TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.bind_device(Some(LOOPBACK_DEVICE))?;
@@ -37,10 +37,10 @@
     Ok(socket.into())
 }
 
-/// Answers as hollow machines until standard input ends.
+/// Runs the hollow machines until standard input is closed.
 ///
 /// # Errors
-/// If the plan cannot be read or no port is to be had.
+/// If the plan cannot be parsed or a port cannot be opened.
 pub fn run(plan: &str) -> io::Result<()> {
     let plan: Plan = serde_json::from_str(plan).map_err(io::Error::other)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -53,8 +53,8 @@
         let counted = fleet.clone();
         std::thread::Builder::new()
             .name("counts".into())
-            // Nobody waits for the end of a process that ends already.
-            .spawn(move || drop(end.send(answer(&counted, ports))))?;
+            // The receiver is gone only when the process already ends.
+            .spawn(move || drop(end.send(report_counts(&counted, ports))))?;
         tokio::select! {
             served = accept(fleet.clone(), machines) => served,
             served = list::serve(fleet, list) => served,
@@ -63,18 +63,18 @@
     })
 }
 
-/// Tells the ports, and the counts for each line that asks for them.
-fn answer(fleet: &Shared, ports: Ports) -> io::Result<()> {
-    let say = |line: String| {
+/// Writes the ports to standard output, then the counts for each line `counts` on standard input.
+fn report_counts(fleet: &Shared, ports: Ports) -> io::Result<()> {
+    let write_line = |line: String| {
         let mut out = io::stdout().lock();
         writeln!(out, "{line}")?;
         out.flush()
     };
-    say(serde_json::to_string(&ports).map_err(io::Error::other)?)?;
+    write_line(serde_json::to_string(&ports).map_err(io::Error::other)?)?;
     for line in io::stdin().lock().lines() {
         if line?.trim() == "counts" {
             let counts = fleet.lock().counts;
-            say(serde_json::to_string(&counts).map_err(io::Error::other)?)?;
+            write_line(serde_json::to_string(&counts).map_err(io::Error::other)?)?;
         }
     }
     Ok(())
@@ -85,9 +85,14 @@
     loop {
         let (stream, _) = listener.accept().await?;
         let IpAddr::V4(local) = stream.local_addr()?.ip() else { continue };
-        let Some(machine) = number(local) else { continue };
+        let Some(machine) = machine_at(local) else { continue };
         connection += 1;
-        let is_first = reached.insert(machine);
-        tokio::spawn(connection::serve(fleet.clone(), stream, Place { machine, connection }, is_first));
+        let is_first_contact = reached.insert(machine);
+        tokio::spawn(connection::serve(
+            fleet.clone(),
+            stream,
+            ConnectionId { machine, connection },
+            is_first_contact,
+        ));
     }
 }
--- a/lab/src/capacity/hollow_planner/bytes.rs
+++ b/lab/src/capacity/hollow_planner/bytes.rs
@@ -1,17 +1,17 @@
-//! What a list source, a client and a machine write, as bytes of the platform's protocol.
+//! Messages of the machine list's source, of clients and of machines, encoded in the platform's protocol.
 
 use serde_json::{json, Value};
 use std::io;
 
-/// Machines to a cell.
-const CELL: usize = 4;
+/// Machines of each cell.
+const MACHINES_PER_CELL: usize = 4;
 
-/// A machine of the list.
+/// A machine's entry in the list.
 fn instance(machine: usize, lifecycle: &str) -> Value {
     let (zone, port) = (["hall-a", "hall-b"][machine % 2], 7_000);
     let address = format!("10.{}.{}.{}:{port}", machine >> 16, machine >> 8 & 255, machine & 255);
     json!({"instanceId": name(machine), "hostPort": address, "zone": zone, "machineType": "std-48",
-        "cell": machine / CELL, "lifecycle": lifecycle, "weight": 1, "startedAtMs": 0, "free": [40, 80]})
+        "cell": machine / MACHINES_PER_CELL, "lifecycle": lifecycle, "weight": 1, "startedAtMs": 0, "free": [40, 80]})
 }
 
 /// The name of a machine.
@@ -19,13 +19,13 @@
     format!("node-{machine}")
 }
 
-/// The whole list as its source writes it.
-pub fn whole_line(revision: u64, machines: usize) -> Vec<u8> {
+/// The line with the complete list.
+pub fn full_list_line(revision: u64, machines: usize) -> Vec<u8> {
     let all: Vec<Value> = (0..machines).map(|machine| instance(machine, "in_service")).collect();
     json!({"rev": revision, "pool": {"reset": true, "instances": all}}).to_string().into_bytes()
 }
 
-/// A change of one machine, which drains or comes back.
+/// The line with a change of one machine, which starts to drain or returns to service.
 pub fn change_line(revision: u64, machine: usize, drains: bool) -> Vec<u8> {
     let lifecycle = if drains { "draining" } else { "in_service" };
     let one = [instance(machine, lifecycle)];
@@ -35,13 +35,13 @@
 /// A client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Its number.
+    /// Its id.
     pub id: u64,
     /// The number of its service.
     pub service: u64,
-    /// Cores that it asks for.
+    /// Cores that it needs; units of memory are the same number.
     pub cores: f64,
-    /// The machine at which its task stands already.
+    /// The machine that already holds its task, if any.
     pub at: Option<usize>,
 }
 
@@ -49,7 +49,7 @@
     [&[code][..], &(value.len() as u16).to_be_bytes(), value.as_bytes()].concat()
 }
 
-/// A set-up as a client writes it.
+/// A client's set-up message, with its length in front.
 pub fn set_up(request: &Request) -> Vec<u8> {
     let Request { id, service, cores, at } = *request;
     let at = at.map(|machine| format!(";at:{}", name(machine))).unwrap_or_default();
@@ -66,17 +66,17 @@
     [&(message.len() as u16).to_be_bytes()[..], &message].concat()
 }
 
-/// What a machine answers.
+/// A machine's answer.
 #[derive(Debug)]
 pub struct Answer {
-    /// The line, without its end.
+    /// The line without its line feed.
     pub line: Vec<u8>,
-    /// Whether it took a task.
+    /// Whether the machine accepted a task.
     pub placed: bool,
 }
 
-/// A task is over.
-pub fn over(task: u64) -> Vec<u8> {
+/// A machine's message that a task has ended.
+pub fn task_ended(task: u64) -> Vec<u8> {
     stopped(&format!("{task:016x}"), 16)
 }
 
@@ -84,10 +84,10 @@
     json!({"kind": "stop", "uid": uid, "meta": {}, "reason": reason}).to_string().into_bytes()
 }
 
-/// What a machine that takes all work at once, and holds none, answers to these lines.
+/// The answers to these lines from a machine that accepts every task immediately and keeps no state.
 ///
 /// # Errors
-/// If a line is no message.
+/// If a line is not JSON.
 pub fn answers(bytes: &[u8]) -> io::Result<Vec<Answer>> {
     let lines = bytes.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
     let mut answers = Vec::new();
--- a/lab/src/capacity/hollow_planner/mod.rs
+++ b/lab/src/capacity/hollow_planner/mod.rs
@@ -1,10 +1,10 @@
-//! A hollow planner: the real core, deciders and codecs ([`burlhook::simulation`]) in this process, on a simulated clock,
-//! with hollow machines that answer at once and hold no work.
+//! A hollow planner: the real core, decision modules and codecs ([`burlhook::simulation`]) in this process on
+//! a simulated clock, with simulated machines that answer immediately and keep no state.
 
 mod bytes;
 pub mod operators;
 
-pub use bytes::{change_line, set_up, whole_line, Request};
+pub use bytes::{change_line, full_list_line, set_up, Request};
 
 use super::count::{cost_of, Cost};
 use burlhook::simulation::{Output, Planner, Rejected, Start};
@@ -13,55 +13,56 @@
 use std::collections::BTreeSet;
 use std::io;
 
-/// Seconds. When simulated time begins; no list, machine or task is older.
+/// Start of simulated time, in seconds; no list, machine or task is older.
 const BEGIN_S: Seconds = 1_000_000.0;
-/// Seconds. An alarm's time may be off by less than this once it is a number of seconds.
+/// Bound on the rounding error of an alarm's time once it is a floating-point number of seconds.
 const ROUNDING_S: Seconds = 1e-6;
-/// The connection that all requests come on.
+/// The client connection of all requests.
 const CONNECTION: u64 = 1;
 
-/// Bytes and messages that went over one kind of connection.
+/// Messages and bytes that were sent over one kind of connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes.
+    /// Number of their bytes.
     pub bytes: u64,
 }
 
 impl Traffic {
-    /// Books a message.
+    /// Counts a message.
     pub fn add(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes as u64;
     }
 }
 
-/// One hollow planner and its hollow machines.
+/// A hollow planner and its simulated machines.
 pub struct HollowPlanner {
     /// The planner.
     pub planner: Planner,
     /// Simulated time.
     pub now: Seconds,
-    /// What the planner wrote to machines.
+    /// Messages from the planner to machines.
     pub to_machines: Traffic,
-    /// What it wrote to clients.
+    /// Messages from the planner to clients.
     pub to_clients: Traffic,
-    /// Times that the planner was woken by its own alarm.
+    /// How often an alarm woke the planner.
     pub ticks: u64,
-    /// Requests that machines took.
+    /// Tasks that machines accepted.
     pub placed: u64,
-    /// The machine that took a request last.
+    /// The machine that accepted the latest task.
     pub placed_at: Option<MachineId>,
-    /// The machines to which a connection is held.
+    /// The machines to which the planner holds a connection.
     connected: BTreeSet<MachineId>,
-    /// Requests so far.
-    asked: u64,
-    /// What the planner's own work cost since that was taken last; the machines' answers cost it nothing.
+    /// Request ids that were assigned.
+    assigned_ids: u64,
+    /// Cost of the planner's own work since the last [`HollowPlanner::take_cost`], without that of the
+    /// simulated machines.
     cost: Cost,
     outputs: Vec<Output>,
-    /// Room for the outputs of the next call.
-    spare: Vec<Output>,
+    /// Empty buffer that is swapped with `outputs`, so that its allocation is reused.
+    spare_outputs: Vec<Output>,
 }
 
 /// The platform's settings, as [`crate::planner::config`] has them.
@@ -69,19 +70,19 @@
     crate::planner::config(&[], 1)["settings"].take()
 }
 
-/// A failure of the planner as one of the run.
-pub fn failed(error: Rejected) -> io::Error {
+/// Converts an error of the planner to an I/O error.
+pub fn rejected(error: Rejected) -> io::Error {
     io::Error::other(error)
 }
 
 impl HollowPlanner {
-    /// A planner that knows no machine.
+    /// A planner with an empty machine list.
     ///
     /// # Errors
     /// If it cannot be started.
     pub fn new() -> io::Result<HollowPlanner> {
         let start = Start { standing: usize::MAX, ..Start::default() };
-        let planner = Planner::new(&settings(), start).map_err(failed)?;
+        let planner = Planner::new(&settings(), start).map_err(rejected)?;
         Ok(HollowPlanner {
             planner,
             now: BEGIN_S,
@@ -91,50 +92,50 @@
             placed: 0,
             placed_at: None,
             connected: BTreeSet::new(),
-            asked: 0,
+            assigned_ids: 0,
             cost: Cost::default(),
             outputs: Vec::new(),
-            spare: Vec::new(),
+            spare_outputs: Vec::new(),
         })
     }
 
-    /// A planner that knows so many machines and holds a connection to each.
+    /// A planner with this many machines and a connection to each.
     ///
     /// # Errors
     /// If it cannot be started.
     pub fn with_machines(machines: usize) -> io::Result<HollowPlanner> {
         let mut hollow = HollowPlanner::new()?;
-        hollow.list(&whole_line(1, machines))?;
-        // The list that a planner starts with tells of no change.
+        hollow.list(&full_list_line(1, machines))?;
+        // The list that a planner starts with does not count as a change: time passes before the next line.
         hollow.advance(1.0)?;
         Ok(hollow)
     }
 
-    /// Hands a line of the machine list in.
+    /// Passes a line of the machine list to the planner.
     ///
     /// # Errors
-    /// If it cannot be read.
+    /// If the line cannot be parsed.
     pub fn list(&mut self, line: &[u8]) -> io::Result<()> {
         self.call(|planner, now, out| planner.list(now, line, out))?;
-        self.settle()
+        self.deliver_outputs()
     }
 
-    /// Hands the list in that was kept from before a restart.
+    /// Passes the list that was stored before a restart to the planner.
     ///
     /// # Errors
-    /// If it cannot be read.
+    /// If the line cannot be parsed.
     pub fn kept_list(&mut self, line: &[u8]) -> io::Result<()> {
         self.call(|planner, now, out| planner.kept_list(now, line, out))?;
-        self.settle()
+        self.deliver_outputs()
     }
 
-    /// Puts the text of an operators' file in force.
+    /// Applies the text of an operators' file.
     ///
     /// # Errors
-    /// Its faults.
+    /// If the text has errors.
     pub fn configure(&mut self, text: &str) -> io::Result<()> {
         self.call(|planner, now, out| planner.configure(now, text, out))?;
-        self.settle()
+        self.deliver_outputs()
     }
 
     /// The machines to which the planner holds a connection.
@@ -142,47 +143,47 @@
         self.connected.iter().copied()
     }
 
-    /// The next request's number.
+    /// Assigns the id of the next request.
     pub fn next_request(&mut self) -> u64 {
-        self.asked += 1;
-        self.asked
+        self.assigned_ids += 1;
+        self.assigned_ids
     }
 
-    /// Hands a client's message in and lets the machines answer what follows.
+    /// Passes a client's message to the planner and lets the machines answer the messages that follow.
     ///
     /// # Errors
-    /// If it cannot be used.
+    /// If the planner rejects it.
     pub fn request(&mut self, message: &[u8]) -> io::Result<()> {
         self.call(|planner, now, out| planner.request(now, CONNECTION, message, out))?;
-        self.settle()
+        self.deliver_outputs()
     }
 
-    /// Hands a group in and lets the machines answer what follows.
+    /// Passes a group request to the planner and lets the machines answer the messages that follow.
     ///
     /// # Errors
-    /// If it is not allowed.
+    /// If the planner rejects it.
     pub fn group(&mut self, service: &str, members: usize, room: Room) -> io::Result<()> {
         let id = self.next_request();
         let (class, service) = ("stateless".into(), service.into());
         let group = burlhook::simulation::GroupRequest { id, class, service, room, members, deadline_s: 5.0 };
         self.call(|planner, now, out| planner.group(now, &group, out))?;
-        self.settle()
+        self.deliver_outputs()
     }
 
-    /// A machine tells that a task is over.
+    /// Passes a machine's message that a task has ended to the planner.
     ///
     /// # Errors
-    /// If the planner cannot read it.
+    /// If the planner rejects it.
     pub fn end(&mut self, machine: MachineId, task: u64) -> io::Result<()> {
-        let line = bytes::over(task);
+        let line = bytes::task_ended(task);
         self.call(|planner, now, out| planner.answer(now, machine, &line, out))?;
-        self.settle()
+        self.deliver_outputs()
     }
 
-    /// Lets time pass, with all alarms on the way.
+    /// Advances simulated time and runs all alarms that fall due.
     ///
     /// # Errors
-    /// If an answer cannot be read.
+    /// If a machine's answer is rejected.
     pub fn advance(&mut self, span: Seconds) -> io::Result<()> {
         let until = self.now + span;
         while let Some(at) = self.planner.next_alarm().filter(|at| *at <= until) {
@@ -192,41 +193,41 @@
                 planner.tick(now, out);
                 Ok(())
             })?;
-            self.settle()?;
+            self.deliver_outputs()?;
         }
         self.now = until;
         Ok(())
     }
 
-    /// What the planner's own work cost since that was taken last.
+    /// Returns the cost of the planner's own work since the last call of this method, and resets it.
     pub fn take_cost(&mut self) -> Cost {
         std::mem::take(&mut self.cost)
     }
 
-    /// Has the planner do one thing, and books what it costs.
+    /// Runs one operation of the planner and adds its cost.
     fn call(
         &mut self,
-        what: impl FnOnce(&mut Planner, Seconds, &mut Vec<Output>) -> Result<(), Rejected>,
+        operation: impl FnOnce(&mut Planner, Seconds, &mut Vec<Output>) -> Result<(), Rejected>,
     ) -> io::Result<()> {
-        let (done, cost) = cost_of(|| what(&mut self.planner, self.now, &mut self.outputs));
+        let (done, cost) = cost_of(|| operation(&mut self.planner, self.now, &mut self.outputs));
         self.cost.add(cost);
-        done.map_err(failed)
+        done.map_err(rejected)
     }
 
-    /// Lets the machines answer until nothing more is written.
-    fn settle(&mut self) -> io::Result<()> {
+    /// Delivers the planner's outputs, and those that the machines' answers cause, until none is left.
+    fn deliver_outputs(&mut self) -> io::Result<()> {
         while !self.outputs.is_empty() {
-            let spare = std::mem::take(&mut self.spare);
-            let mut outputs = std::mem::replace(&mut self.outputs, spare);
+            let spare_outputs = std::mem::take(&mut self.spare_outputs);
+            let mut outputs = std::mem::replace(&mut self.outputs, spare_outputs);
             for output in outputs.drain(..) {
-                self.carry(&output)?;
+                self.deliver(&output)?;
             }
-            self.spare = outputs;
+            self.spare_outputs = outputs;
         }
         Ok(())
     }
 
-    fn carry(&mut self, output: &Output) -> io::Result<()> {
+    fn deliver(&mut self, output: &Output) -> io::Result<()> {
         match output {
             Output::ToMachine { machine, bytes } => {
                 self.to_machines.add(bytes.len());
--- a/lab/src/capacity/list_machines.rs
+++ b/lab/src/capacity/list_machines.rs
@@ -1,7 +1,7 @@
 //! What the machine list costs against machines: the whole list, and a change of one machine.
 
 use super::count::needs_counts;
-use super::hollow_planner::{change_line, whole_line, HollowPlanner};
+use super::hollow_planner::{change_line, full_list_line, HollowPlanner};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use std::io;
 
@@ -27,7 +27,7 @@
 fn run(machines: usize) -> io::Result<Vec<Sample>> {
     needs_counts()?;
     let mut hollow = HollowPlanner::with_machines(machines)?;
-    let line = whole_line(2, machines);
+    let line = full_list_line(2, machines);
     hollow.take_cost();
     hollow.list(&line)?;
     let whole = hollow.take_cost();
--- a/lab/src/capacity/members/network.rs
+++ b/lab/src/capacity/members/network.rs
@@ -1,6 +1,6 @@
 //! Many hollow planners and the datagrams between them, on one simulated clock.
 
-use crate::capacity::hollow_planner::{failed, operators, set_up, settings, Request, Traffic};
+use crate::capacity::hollow_planner::{operators, rejected, set_up, settings, Request, Traffic};
 use burlhook::simulation::{Output, Planner, Start};
 use burlhook::Seconds;
 use std::cmp::Reverse;
@@ -89,7 +89,7 @@
             |planner: usize| Planner::new(&settings, Start { seed: planner as u64 + 1, ..Start::default() });
         let all: Result<Vec<Planner>, _> = (0..planners).map(new).collect();
         let mut fleet = Fleet {
-            planners: all.map_err(failed)?,
+            planners: all.map_err(rejected)?,
             said: vec![Said::default(); planners],
             booked: vec![None; planners],
             due: BinaryHeap::new(),
@@ -103,7 +103,7 @@
             fleet.now = BEGIN + planner as Micros * START_STEP % START_SPAN;
             let text = operators::fleet(planner, planners, voters.min(planners), in_flight);
             let (now, out) = (fleet.seconds(), &mut fleet.outputs);
-            fleet.planners[planner].configure(now, &text, out).map_err(failed)?;
+            fleet.planners[planner].configure(now, &text, out).map_err(rejected)?;
             fleet.after(planner);
             fleet.book_request(planner);
         }
@@ -157,13 +157,13 @@
             }
             Due::Datagram { from, to, bytes } => {
                 self.said[to].heard.add(bytes.len());
-                self.planners[to].datagram(now, from as u16, &bytes, out).map_err(failed)?;
+                self.planners[to].datagram(now, from as u16, &bytes, out).map_err(rejected)?;
                 to
             }
             Due::Request { planner } => {
                 self.requests += 1;
                 let request = Request { id: self.requests, service: 7, cores: 1.0, at: None };
-                self.planners[planner].request(now, CONNECTION, &set_up(&request), out).map_err(failed)?;
+                self.planners[planner].request(now, CONNECTION, &set_up(&request), out).map_err(rejected)?;
                 self.book_request(planner);
                 planner
             }
--- a/lab/src/capacity/restart_hollow.rs
+++ b/lab/src/capacity/restart_hollow.rs
@@ -1,7 +1,7 @@
 //! What a planner takes in at a restart, against machines and against standing tasks.
 
 use super::count::needs_counts;
-use super::hollow_planner::{set_up, whole_line, HollowPlanner, Request};
+use super::hollow_planner::{full_list_line, set_up, HollowPlanner, Request};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT, TASK_SIZES, TASK_SIZES_SHORT};
 use std::io;
 
@@ -50,7 +50,7 @@
 fn restart(machines: usize, tasks: usize) -> io::Result<Vec<Sample>> {
     needs_counts()?;
     let mut hollow = HollowPlanner::new()?;
-    let (kept, whole) = (whole_line(1, machines), whole_line(2, machines));
+    let (kept, whole) = (full_list_line(1, machines), full_list_line(2, machines));
     let mut bytes = kept.len() + whole.len();
     hollow.take_cost();
     hollow.kept_list(&kept)?;
--- a/lab/src/capacity/state.rs
+++ b/lab/src/capacity/state.rs
@@ -1,7 +1,7 @@
 //! Bytes of state that a planner keeps, against machines and against standing tasks.
 
 use super::count::needs_counts;
-use super::hollow_planner::{set_up, whole_line, HollowPlanner, Request};
+use super::hollow_planner::{full_list_line, set_up, HollowPlanner, Request};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT, TASK_SIZES, TASK_SIZES_SHORT};
 use std::io;
 
@@ -66,11 +66,11 @@
         hollow.advance(GAP_S)?;
         if task % TASKS_A_LIST == 0 {
             revision += 1;
-            hollow.list(&whole_line(revision, MACHINES))?;
+            hollow.list(&full_list_line(revision, MACHINES))?;
         }
     }
     hollow.advance(REST_S)?;
-    hollow.list(&whole_line(revision + 1, MACHINES))?;
+    hollow.list(&full_list_line(revision + 1, MACHINES))?;
     let held = hollow.take_cost().allocated.held as f64;
     let standing: usize = hollow.machines().map(|machine| hollow.planner.standing_at(machine)).sum();
     if standing != tasks {
