--- a/lab/src/capacity/admission.rs
+++ b/lab/src/capacity/admission.rs
@@ -1,6 +1,6 @@
 //! What it costs to admit a request, against routes of the operators' file and against tenants with quotas.
 
-use super::count::{cost_of, needs_counts, Cost};
+use super::count::{cost_of, require_counting_allocator, Cost};
 use super::hollow_planner::{operators, settings};
 use super::ladder::{Ladder, Sample};
 use super::pick_machines::{placer, task};
@@ -66,7 +66,7 @@
 }
 
 fn routes(routes: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let (settings, words) = vocabulary::settings(&settings()).map_err(io::Error::other)?;
     let classes = words.classes().to_vec();
     let (limits, in_force) = cost_of(|| limits_of(routes, &settings, &classes));
@@ -105,7 +105,7 @@
 }
 
 fn quotas(tenants: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let mut now = 1_000.0;
     let mut placer = placer(MACHINES, now, |settings| {
         settings.tenants = vec![Tenant { quota_cores: 50.0 }; tenants];
--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -1,4 +1,6 @@
-//! One planner process over hollow machines, measured from outside.
+//! Runs one planner process over hollow machines and measures it from outside.
+//!
+//! In the names of figures and in this module, an "ask" is a client's request to place a task.
 
 use super::hollow_machine::{Counts, HollowMachines, Plan};
 use super::slopes::Options;
@@ -9,46 +11,48 @@
 use std::io;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-/// Descriptors that the configuration allows: the share of it that is for machines holds 18,000 connections.
+/// File descriptors that the configuration allows; the share reserved for machines suffices for 18,000
+/// connections.
 pub const SOCKETS: u32 = 32_000;
-/// Megabytes that the configuration allows: the share of it that is for standing tasks holds 60,000.
+/// Megabytes of memory that the configuration allows; the share reserved for standing tasks suffices for
+/// 60,000.
 pub const MEMORY_MB: f64 = 1_024.0;
-/// Seconds after all machines are reached before a planner counts as one at rest.
-pub const SETTLE: Duration = Duration::from_secs(2);
-/// Time over which a planner at rest is measured.
-pub const WINDOW: Duration = Duration::from_secs(4);
-/// Within so long after its start a planner reaches the machines that it is to reach.
-const REACH: Duration = Duration::from_secs(20);
-/// A planner that has reached no further machine for so long reaches no more.
-const NO_MORE: Duration = Duration::from_secs(3);
-/// Between two looks at whether all machines are reached.
-const LOOK: Duration = Duration::from_millis(50);
-/// Count. Services that are asked for, by turns.
+/// Time after all machines are connected until a planner counts as being at rest.
+pub const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Time over which a planner is measured at rest.
+pub const REST_WINDOW: Duration = Duration::from_secs(4);
+/// The longest wait for a planner to connect to all machines.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
+/// The wait ends early once no further machine has been connected for this time.
+const CONNECT_STALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time between two checks whether all machines are connected.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of services that requests are for, in turn.
 const SERVICES: usize = 64;
-/// Cores and memory of an ask: one slot of a hollow machine.
-const ROOM: (f64, f64) = (1.0, 2.0);
+/// Cores and memory units of a request: one slot of a hollow machine.
+const REQUEST_ROOM: (f64, f64) = (1.0, 2.0);
 
-/// What is set up.
+/// The set-up of a measurement.
 #[derive(Clone, Debug)]
 pub struct Scene {
     /// Machines in the list.
     pub machines: usize,
-    /// How they behave.
+    /// The machines' behaviour.
     pub plan: Plan,
-    /// Planners that the settings tell of.
+    /// Number of planners that the settings state.
     pub listed: usize,
-    /// Descriptors that the configuration allows.
+    /// File descriptors that the configuration allows.
     pub sockets: u32,
-    /// Megabytes that the configuration allows.
+    /// Megabytes of memory that the configuration allows.
     pub memory_mb: f64,
-    /// The operators' file, where there is one.
+    /// The text of the operators' file, if there is one.
     pub operators: Option<String>,
-    /// Seed of planner and load.
+    /// Seed of the planner and of the load.
     pub seed: u64,
 }
 
 impl Scene {
-    /// One planner over so many machines, with room for all connections.
+    /// One planner over this many machines, with enough descriptors for all connections.
     pub fn of(machines: usize) -> Scene {
         let plan = Plan { life_ms: 1_000, ..Plan::default() };
         Scene { machines, plan, listed: 1, sockets: SOCKETS, memory_mb: MEMORY_MB, operators: None, seed: 1 }
@@ -69,7 +73,7 @@
     }
 }
 
-/// A planner over hollow machines; both end when this is dropped.
+/// A planner process over a process of hollow machines; dropping this ends both.
 pub struct Bench {
     /// The planner.
     pub planner: Planner,
@@ -78,25 +82,26 @@
     scene: Scene,
 }
 
-/// How a planner started.
+/// Measurements of a planner's start.
 #[derive(Clone, Copy, Debug)]
 pub struct Started {
     /// From the start of its process until it listens.
     pub ready: Duration,
-    /// From the start of its process until the last machine was reached.
+    /// From the start of its process until the last first connection to a machine.
     pub reached: Duration,
-    /// Machines that were reached.
+    /// Machines that the planner connected to.
     pub machines: u64,
-    /// Processor time until then.
+    /// Processor time until the wait for connections ended.
     pub processor: Duration,
 }
 
-/// What a planner used over a time, and what went over its connections to machines and machine list.
+/// Resources that a planner used over an interval, and the traffic on its connections to the machines and the
+/// machine list.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    /// The time, in seconds.
+    /// Length of the interval, in seconds.
     pub seconds: f64,
-    /// Processor time over it.
+    /// Processor time that was used in it.
     pub processor: Duration,
     /// Resident memory at its end, in KiB.
     pub resident_kib: u64,
@@ -105,7 +110,7 @@
 }
 
 impl Window {
-    /// Share of a core.
+    /// Processor time as a share of one core.
     pub fn share(&self) -> f64 {
         self.processor.as_secs_f64() / self.seconds
     }
@@ -115,64 +120,65 @@
         self.resident_kib as f64 / 1024.0
     }
 
-    /// How much a count grew each second.
+    /// Mean growth of a count per second.
     pub fn rate(&self, count: impl Fn(&Counts) -> u64) -> f64 {
         (count(&self.after) - count(&self.before)) as f64 / self.seconds
     }
 
-    /// Bytes a second that the planner heard.
+    /// Bytes per second that the planner received.
     pub fn bytes_in(&self) -> f64 {
         self.rate(|counts| counts.bytes_out + counts.list_out)
     }
 
-    /// Bytes a second that the planner sent.
+    /// Bytes per second that the planner sent.
     pub fn bytes_out(&self) -> f64 {
         self.rate(|counts| counts.bytes_in + counts.list_in)
     }
 
-    /// Connections that are open at its end.
+    /// Connections to machines that are open at its end.
     pub fn open(&self) -> u64 {
         self.after.open
     }
 }
 
-/// What came of asks.
-pub struct Asks {
-    /// Asks a second.
+/// The results of a load of requests.
+pub struct LoadResult {
+    /// Requests per second.
     pub rate: f64,
-    /// What came of each.
+    /// Outcomes and answer times.
     pub tally: Tally,
-    /// What the planner used meanwhile.
+    /// Resources that the planner used meanwhile.
     pub window: Window,
 }
 
-impl Asks {
-    /// Milliseconds of processor time for each ask, all in all.
+impl LoadResult {
+    /// Milliseconds of processor time per request, including the planner's usage at rest.
     pub fn total_ms(&self) -> f64 {
         self.window.processor.as_secs_f64() * 1e3 / self.tally.asked as f64
     }
 
-    /// The same without the share of a core that is spent at rest.
+    /// Milliseconds of processor time per request beyond the usage at rest, which is `rest_share` of a core.
     pub fn own_ms(&self, rest_share: f64) -> f64 {
         self.total_ms() - rest_share * self.window.seconds * 1e3 / self.tally.asked as f64
     }
 
-    /// Milliseconds within which this share of those that were placed had their answer.
+    /// The quantile `share` of the answer time of placed requests, in milliseconds.
     pub fn placed_ms(&self, share: f64) -> f64 {
         self.tally.placed_us.value_at_quantile(share) as f64 / 1e3
     }
 
-    /// Share of those that were answered that were placed.
+    /// Share of the answered requests that were placed.
     pub fn placed_share(&self) -> f64 {
         self.tally.count(End::Placed) as f64 / self.tally.answered().max(1) as f64
     }
 
-    /// Asks that failed or had no answer.
+    /// Requests that failed or were not answered.
     pub fn failed(&self) -> u64 {
         self.tally.count(End::Failed) + self.tally.count(End::Unanswered)
     }
 
-    /// Whether nothing failed or was turned away, and 99 in 100 had their answer within a second.
+    /// Whether no request failed or was rejected by a limit, and the 99th percentile of the answer time is
+    /// below 1 s.
     pub fn kept_up(&self) -> bool {
         let lost = self.failed() + self.tally.count(End::TurnedAway);
         lost == 0 && self.tally.count(End::Placed) > 0 && self.placed_ms(0.99) < 1e3
@@ -180,7 +186,7 @@
 }
 
 impl Bench {
-    /// Starts machines and planner.
+    /// Starts the machines and the planner.
     ///
     /// # Errors
     /// If one of the processes cannot be started.
@@ -191,10 +197,10 @@
         Ok(Bench { planner, hollow, scene })
     }
 
-    /// Waits until the planner has reached all machines, or reaches no more of them.
+    /// Waits until the planner has connected to all machines or stops connecting to further ones.
     ///
     /// # Errors
-    /// If one of the processes is gone.
+    /// If one of the processes has ended.
     pub fn reach(&self) -> io::Result<Started> {
         let (from, mut last, mut reached) = (Instant::now(), Instant::now(), 0);
         let counts = loop {
@@ -202,11 +208,11 @@
             if counts.reached > reached {
                 (last, reached) = (Instant::now(), counts.reached);
             }
-            let is_over = last.elapsed() > NO_MORE || from.elapsed() > REACH;
-            if reached >= self.scene.machines as u64 || is_over {
+            let is_timed_out = last.elapsed() > CONNECT_STALL_TIMEOUT || from.elapsed() > CONNECT_TIMEOUT;
+            if reached >= self.scene.machines as u64 || is_timed_out {
                 break counts;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         };
         let processor = Usage::of(self.planner.id())?.processor;
         let reached = UNIX_EPOCH + Duration::from_micros(counts.reached_at_us);
@@ -214,38 +220,38 @@
         Ok(Started { ready: self.planner.ready_after, reached, machines: counts.reached, processor })
     }
 
-    /// Measures what is used while something is done.
+    /// Measures the planner while an action runs.
     ///
     /// # Errors
-    /// If one of the processes is gone.
-    pub fn during<T>(&self, what: impl FnOnce() -> io::Result<T>) -> io::Result<(T, Window)> {
+    /// If one of the processes has ended.
+    pub fn during<T>(&self, action: impl FnOnce() -> io::Result<T>) -> io::Result<(T, Window)> {
         let (from, before, used) = (Instant::now(), self.hollow.counts()?, Usage::of(self.planner.id())?);
-        let done = what()?;
+        let done = action()?;
         let now = Usage::of(self.planner.id())?;
         let (seconds, after) = (from.elapsed().as_secs_f64(), self.hollow.counts()?);
         let processor = now.processor.saturating_sub(used.processor);
         Ok((done, Window { seconds, processor, resident_kib: now.resident_kib, before, after }))
     }
 
-    /// Measures the planner at rest, once it has settled.
+    /// Waits for the settling time and measures the planner at rest.
     ///
     /// # Errors
-    /// If one of the processes is gone.
+    /// If one of the processes has ended.
     pub fn rest(&self) -> io::Result<Window> {
-        std::thread::sleep(SETTLE);
+        std::thread::sleep(SETTLE_TIME);
         Ok(self
             .during(|| {
-                std::thread::sleep(WINDOW);
+                std::thread::sleep(REST_WINDOW);
                 Ok(())
             })?
             .1)
     }
 
-    /// Asks at a rate for so long, and waits for the answers.
+    /// Sends requests at a rate for this time and waits for the answers. Request ids start after `ids_after`.
     ///
     /// # Errors
-    /// If the planner cannot be reached.
-    pub fn ask(&self, rate: f64, span: Duration, ids_after: u64) -> io::Result<Asks> {
+    /// If the planner cannot be connected to.
+    pub fn ask(&self, rate: f64, span: Duration, ids_after: u64) -> io::Result<LoadResult> {
         let shape = Shape {
             rate,
             span,
@@ -254,12 +260,12 @@
             deadline: Duration::from_secs(5),
             services: (0..SERVICES).map(|n| format!("search-{n}")).collect(),
             seed: self.scene.seed,
-            room: ROOM,
+            room: REQUEST_ROOM,
             patience: Duration::from_secs(3),
             ids_after,
             hear_on: Duration::ZERO,
         };
         let (tally, window) = self.during(|| load::run(&shape, self.planner.owners, None))?;
-        Ok(Asks { rate, tally, window })
+        Ok(LoadResult { rate, tally, window })
     }
 }
--- a/lab/src/capacity/config_parse.rs
+++ b/lab/src/capacity/config_parse.rs
@@ -1,6 +1,6 @@
 //! What it costs to read an operators' file and to put it in force, against its routes.
 
-use super::count::{cost_of, needs_counts};
+use super::count::{cost_of, require_counting_allocator};
 use super::hollow_planner::{operators, rejected, HollowPlanner};
 use super::ladder::{Ladder, Sample};
 use std::io;
@@ -20,7 +20,7 @@
 };
 
 fn run(routes: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let text = operators::routes(routes);
     let mut hollow = HollowPlanner::new()?;
     let (read, reading) = cost_of(|| hollow.planner.check(&text));
--- a/lab/src/capacity/count.rs
+++ b/lab/src/capacity/count.rs
@@ -1,4 +1,5 @@
-//! What a piece of work costs: allocations and bytes, which are the same in each run, and processor time.
+//! Measures the cost of a piece of work: allocations and their bytes, which are the same in each run, and
+//! processor time.
 
 use cpu_time::ThreadTime;
 use stats_alloc::{Region, INSTRUMENTED_SYSTEM};
@@ -10,23 +11,24 @@
 pub struct Allocated {
     /// Allocations and reallocations.
     pub count: u64,
-    /// Bytes that they asked for.
+    /// Bytes that they requested.
     pub bytes: u64,
-    /// Bytes that are held still once it is done; fewer than none where it gave back what was held before.
+    /// Bytes allocated minus bytes freed: the growth of the heap. Negative if the work freed memory from
+    /// before.
     pub held: i64,
 }
 
-/// What a piece of work cost.
+/// The cost of a piece of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
     /// Its allocations.
     pub allocated: Allocated,
-    /// Processor time of this thread, by the operating system's count.
+    /// Processor time of this thread, as the operating system counts it.
     pub processor: Duration,
 }
 
 impl Cost {
-    /// Adds what another piece of work cost.
+    /// Adds the cost of another piece of work.
     pub fn add(&mut self, other: Cost) {
         self.allocated.count += other.allocated.count;
         self.allocated.bytes += other.allocated.bytes;
@@ -34,24 +36,24 @@
         self.processor += other.processor;
     }
 
-    /// Processor time of each of so many, in microseconds.
+    /// Processor time divided by a number of items, in microseconds.
     pub fn microseconds_each(&self, of: usize) -> f64 {
         self.processor.as_secs_f64() * 1e6 / of as f64
     }
 
-    /// Allocations of each of so many.
+    /// Allocations divided by a number of items.
     pub fn allocations_each(&self, of: usize) -> f64 {
         self.allocated.count as f64 / of as f64
     }
 
-    /// Bytes allocated for each of so many.
+    /// Bytes allocated, divided by a number of items.
     pub fn bytes_each(&self, of: usize) -> f64 {
         self.allocated.bytes as f64 / of as f64
     }
 }
 
-/// Does a piece of work on this thread and tells what it cost. Allocations are those of the whole process: nothing else
-/// may run in it.
+/// Runs a piece of work on this thread and returns its cost. Allocations are counted for the whole process,
+/// so nothing else may run in it.
 pub fn cost_of<T>(work: impl FnOnce() -> T) -> (T, Cost) {
     let region = Region::new(&INSTRUMENTED_SYSTEM);
     let from = ThreadTime::now();
@@ -66,14 +68,16 @@
     (done, Cost { allocated, processor })
 }
 
-/// Looks whether the process counts its allocations: its program has to use the counting allocator.
+/// Checks that the process counts its allocations, for which its program has to use the counting allocator.
 ///
 /// # Errors
-/// If it does not.
-pub fn needs_counts() -> io::Result<()> {
+/// If allocations are not counted.
+pub fn require_counting_allocator() -> io::Result<()> {
     let (_kept, cost) = cost_of(|| std::hint::black_box(Box::new(0u64)));
     match cost.allocated.count {
-        0 => Err(io::Error::other("allocations are not counted in this program")),
+        0 => Err(io::Error::other(
+            "allocations are not counted: this program does not use the counting allocator",
+        )),
         _ => Ok(()),
     }
 }
--- a/lab/src/capacity/gang_machines.rs
+++ b/lab/src/capacity/gang_machines.rs
@@ -1,6 +1,6 @@
 //! What a gang of 128 costs against machines: the look whether it fits, and the whole of it until it stands.
 
-use super::count::{cost_of, needs_counts};
+use super::count::{cost_of, require_counting_allocator};
 use super::hollow_planner::{operators, HollowPlanner};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use super::pick_machines::placer;
@@ -31,7 +31,7 @@
 };
 
 fn run(machines: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let now = 1_000.0;
     let placer = placer(machines, now, |_| {})?;
     let needs = vec![Need { room: ROOM, kind: None }; MEMBERS];
--- a/lab/src/capacity/list_machines.rs
+++ b/lab/src/capacity/list_machines.rs
@@ -1,6 +1,6 @@
 //! What the machine list costs against machines: the whole list, and a change of one machine.
 
-use super::count::needs_counts;
+use super::count::require_counting_allocator;
 use super::hollow_planner::{change_line, full_list_line, HollowPlanner};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use std::io;
@@ -25,7 +25,7 @@
 };
 
 fn run(machines: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let mut hollow = HollowPlanner::with_machines(machines)?;
     let line = full_list_line(2, machines);
     hollow.take_cost();
--- a/lab/src/capacity/machines.rs
+++ b/lab/src/capacity/machines.rs
@@ -1,6 +1,7 @@
-//! One planner against its machines: at rest, for an ask, and after a start. All from the same runs.
+//! Costs of one planner as its machines grow: at rest, for each request, and at its start. The three slopes
+//! come from the same runs.
 
-use super::bench::{Asks, Bench, Scene, Started, Window};
+use super::bench::{Bench, LoadResult, Scene, Started, Window};
 use super::figures::Figures;
 use super::record::Slope;
 use super::slopes::Options;
@@ -8,36 +9,39 @@
 use std::io;
 use std::time::Duration;
 
-/// What stands in for machines in all slopes of this module.
-const HOLLOW: &str =
+/// Description of the simulated part, for all slopes of this module.
+const SIMULATED: &str =
     "machines and machine list: one process, which answers as the stand-in machine does after 5 ms; bytes \
                       are those of messages, without headers of the network";
 
 /// The slopes of this module.
 pub const NAMES: &[&str] = &["rest-machines", "ask-machines", "restart-machines"];
 
-/// The slope with the limits of today's planners.
+/// The slope with the resource limits of today's planners.
 pub const TODAY: &[&str] = &["rest-machines-1024"];
 
 const SIZES: &[usize] = &[20, 400, 1_000, 4_000, 10_000, 18_000];
 const SHORT_SIZES: &[usize] = &[20, 100, 200, 400, 800];
-/// Asks a second, and where the planner does not keep up with them.
+/// Requests per second: the usual rate, and the rate that is measured where the planner does not keep up with
+/// it.
 const RATES: (f64, f64) = (200.0, 50.0);
-/// So long is asked.
+/// Time for which requests are sent at each rate.
 const SPAN: Duration = Duration::from_secs(3);
-/// Asks that come before the measured ones, and for how long: services and clients are known then.
+/// Rate in requests per second, and time, of the warm-up: afterwards the planner knows all services and
+/// clients.
 const WARM_UP: (f64, Duration) = (50.0, Duration::from_secs(1));
 
-/// Machines for today's limits, and those limits: descriptors and megabytes.
+/// Sizes that are measured with today's limits.
 const TODAY_SIZES: &[usize] = &[20, 400, 1_000, 4_000, 10_000];
+/// Today's limits: file descriptors, and megabytes of memory.
 const TODAY_LIMITS: (u32, f64) = (1_024, 192.0);
 
-/// What one run gives.
+/// Measurements of one run.
 struct Run {
     started: Started,
     rest: Window,
-    /// At the usual rate, and at the lower one where the planner did not keep up.
-    asks: (Asks, Option<Asks>),
+    /// Under load at the usual rate, and at the lower one if the planner did not keep up.
+    asks: (LoadResult, Option<LoadResult>),
 }
 
 fn measure_one(options: &Options, machines: usize) -> io::Result<Run> {
@@ -71,8 +75,8 @@
     figures.measured("machines reached", "count", size, started.machines as f64);
 }
 
-/// Adds what came of asks, as all slopes of asks have it.
-pub(super) fn add_asks(figures: &mut Figures, size: f64, asks: &Asks, rest_share: f64) {
+/// Adds the figures that all slopes of requests share.
+pub(super) fn add_asks(figures: &mut Figures, size: f64, asks: &LoadResult, rest_share: f64) {
     figures.measured("processor time an ask, all in all", "ms", size, asks.total_ms());
     figures.measured("processor time an ask, without rest", "ms", size, asks.own_ms(rest_share));
     figures.measured("answer, p50", "ms", size, asks.placed_ms(0.5));
@@ -92,7 +96,7 @@
 /// Measures the three slopes.
 ///
 /// # Errors
-/// If a process cannot be started or is gone.
+/// If a process cannot be started or has ended.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let (mut rest, mut ask, mut start) = (Figures::default(), Figures::default(), Figures::default());
     for (machines, runs) in options.runs(SIZES, SHORT_SIZES) {
@@ -130,10 +134,10 @@
     Ok(slopes(options, [rest, ask, start]))
 }
 
-/// Measures a planner at rest with today's limits: it holds some 600 connections at most.
+/// Measures a planner at rest with today's limits, with which it holds at most about 600 connections.
 ///
 /// # Errors
-/// If a process cannot be started or is gone.
+/// If a process cannot be started or has ended.
 pub fn measure_today(options: &Options) -> io::Result<Vec<Slope>> {
     let mut figures = Figures::default();
     for (machines, runs) in options.runs(TODAY_SIZES, SHORT_SIZES) {
@@ -177,7 +181,7 @@
         size: "machines".into(),
         held,
         real: "the planner's process, its sockets, and the clients".into(),
-        hollow: HOLLOW.into(),
+        hollow: SIMULATED.into(),
         run: options.run.clone(),
         figures: figures.done(),
     }
--- a/lab/src/capacity/members.rs
+++ b/lab/src/capacity/members.rs
@@ -1,20 +1,22 @@
-//! Messages and bytes of a planner for membership and shared budgets, against planners, in simulated time.
+//! Messages and bytes that a planner sends and receives for membership and shared budgets, as the number of
+//! planners grows, in simulated time.
 
 mod network;
 
 use super::ladder::{Ladder, Sample};
-use network::{Fleet, Load, Said};
+use network::{Fleet, Load, PeerTraffic};
 use std::io;
 
-/// Count. Planners that vote.
+/// Number of planners that vote.
 const VOTERS: usize = 3;
-/// Seconds that the members have at the most to settle.
-const SETTLED_WITHIN_S: f64 = 60.0;
-/// Seconds over which messages are counted, four leases.
-const COUNTED_S: f64 = 12.0;
-/// Requests a second of each planner, where it is busy.
+/// The longest time for all members to hold their own slot, in seconds.
+const SETTLE_TIMEOUT_S: f64 = 60.0;
+/// Seconds over which messages are counted: four leases.
+const COUNT_WINDOW_S: f64 = 12.0;
+/// Requests per second at each planner, in the busy slope.
 const BUSY_PER_S: f64 = 20.0;
-/// Count. Places in flight of the whole fleet for each planner: each wants three times as many.
+/// In-flight limit of the fleet's budget, divided by the number of planners. Each planner wants three times
+/// as many.
 const IN_FLIGHT_EACH: usize = 10;
 
 const REAL: &str =
@@ -25,7 +27,7 @@
 const SIZES: &[usize] = &[3, 8, 16, 32, 100, 350, 1_024];
 const SHORT: &[usize] = &[3, 8, 16, 32];
 
-/// At rest.
+/// Traffic without requests.
 pub const REST: Ladder = Ladder {
     name: "members",
     question: "What does a planner at rest say and hear for membership and budgets, as planners grow?",
@@ -38,7 +40,7 @@
     run: rest,
 };
 
-/// Where all planners want more of a budget than there is.
+/// Traffic while all planners want more of a shared budget than there is.
 pub const BUSY: Ladder = Ladder {
     name: "members-busy",
     question: "What does a planner say and hear while all want more of a shared budget than there is?",
@@ -58,27 +60,35 @@
 };
 
 fn rest(planners: usize) -> io::Result<Vec<Sample>> {
-    members(planners, Load::None)
+    measure(planners, Load::None)
 }
 
 fn busy(planners: usize) -> io::Result<Vec<Sample>> {
-    members(planners, Load::EachPerSecond(BUSY_PER_S))
+    measure(planners, Load::EachPerSecond(BUSY_PER_S))
 }
 
-fn members(planners: usize, load: Load) -> io::Result<Vec<Sample>> {
+fn measure(planners: usize, load: Load) -> io::Result<Vec<Sample>> {
     let mut fleet = Fleet::start(planners, VOTERS, IN_FLIGHT_EACH * planners, load)?;
-    let settled_s = fleet.settle(SETTLED_WITHIN_S)?;
-    fleet.take_said();
-    fleet.run(COUNTED_S)?;
-    let said = fleet.take_said();
-    let each = |of: fn(&Said) -> u64| said.iter().map(of).sum::<u64>() as f64 / planners as f64 / COUNTED_S;
-    let most = |of: fn(&Said) -> u64| said.iter().map(of).max().unwrap_or_default() as f64 / COUNTED_S;
+    let settled_s = fleet.settle(SETTLE_TIMEOUT_S)?;
+    fleet.take_traffic();
+    fleet.run(COUNT_WINDOW_S)?;
+    let traffic = fleet.take_traffic();
+    let each = |of: fn(&PeerTraffic) -> u64| {
+        traffic.iter().map(of).sum::<u64>() as f64 / planners as f64 / COUNT_WINDOW_S
+    };
+    let most = |of: fn(&PeerTraffic) -> u64| {
+        traffic.iter().map(of).max().unwrap_or_default() as f64 / COUNT_WINDOW_S
+    };
     Ok(vec![
         Sample::count("datagrams a second out, mean", "messages/s", each(|s| s.sent.messages)),
         Sample::count("bytes a second out, mean", "bytes/s", each(|s| s.sent.bytes)),
-        Sample::count("bytes a second in and out, mean", "bytes/s", each(|s| s.sent.bytes + s.heard.bytes)),
-        Sample::count("datagrams a second in and out, most", "messages/s", most(Said::messages)),
-        Sample::count("bytes a second in and out, most", "bytes/s", most(Said::bytes)),
+        Sample::count(
+            "bytes a second in and out, mean",
+            "bytes/s",
+            each(|s| s.sent.bytes + s.received.bytes),
+        ),
+        Sample::count("datagrams a second in and out, most", "messages/s", most(PeerTraffic::messages)),
+        Sample::count("bytes a second in and out, most", "bytes/s", most(PeerTraffic::bytes)),
         Sample::count("seconds until all hold their own slot", "s", settled_s),
     ])
 }
--- a/lab/src/capacity/members/network.rs
+++ b/lab/src/capacity/members/network.rs
@@ -1,4 +1,4 @@
-//! Many hollow planners and the datagrams between them, on one simulated clock.
+//! Simulates many planners and the datagrams between them on one clock.
 
 use crate::capacity::hollow_planner::{operators, rejected, set_up, settings, Request, Traffic};
 use burlhook::simulation::{Output, Planner, Start};
@@ -12,65 +12,66 @@
 
 /// Microseconds in a second.
 const SECOND: f64 = 1e6;
-/// When simulated time begins.
+/// Start of simulated time.
 const BEGIN: Micros = 1_000_000_000;
-/// A datagram's way.
+/// Time from the sending of a datagram to its arrival.
 const DELAY: Micros = 1_000;
-/// Planners start this far apart, so that they do not act in step.
+/// Time between the starts of two planners, so that their timers do not run in step.
 const START_STEP: Micros = 1_731;
-/// All planners have started within this time.
+/// All planners start within this time.
 const START_SPAN: Micros = 400_000;
-/// Time between two looks whether the members have settled.
-const LOOK_S: Seconds = 0.1;
-/// A clock in seconds may be off by less than this: an alarm that is due counts as due.
+/// Time between two checks whether the members have settled.
+const CHECK_INTERVAL_S: Seconds = 0.1;
+/// Bound on the rounding error of a time in seconds; added to alarms, so that they are due when they run.
 const ROUNDING: Micros = 1;
-/// The connection that all requests come on.
+/// The client connection of all requests.
 const CONNECTION: u64 = 1;
 
-/// What comes to each planner.
+/// The requests that each planner receives.
 #[derive(Clone, Copy, Debug)]
 pub enum Load {
-    /// Nothing.
+    /// No requests.
     None,
-    /// So many requests a second, for which no machine is there: each waits until its time is up.
+    /// This many requests per second. There are no machines, so each waits until its deadline.
     EachPerSecond(f64),
 }
 
-/// What a planner said and heard.
+/// Datagrams that a planner exchanged with others.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Said {
+pub struct PeerTraffic {
     /// Datagrams that it sent.
     pub sent: Traffic,
-    /// Datagrams that came to it.
-    pub heard: Traffic,
+    /// Datagrams that it received.
+    pub received: Traffic,
 }
 
-impl Said {
-    /// Datagrams in and out.
+impl PeerTraffic {
+    /// Number of datagrams, sent and received.
     pub fn messages(&self) -> u64 {
-        self.sent.messages + self.heard.messages
+        self.sent.messages + self.received.messages
     }
 
-    /// Their bytes.
+    /// Bytes of datagrams, sent and received.
     pub fn bytes(&self) -> u64 {
-        self.sent.bytes + self.heard.bytes
+        self.sent.bytes + self.received.bytes
     }
 }
 
+/// A scheduled event.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Event {
     Alarm { planner: usize },
     Datagram { from: usize, to: usize, bytes: Vec<u8> },
     Request { planner: usize },
 }
 
-/// The planners and their network.
+/// The planners, their network and the scheduled events.
 pub struct Fleet {
     planners: Vec<Planner>,
-    said: Vec<Said>,
-    /// The alarm that is booked for each planner.
-    booked: Vec<Option<Micros>>,
-    due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
+    traffic: Vec<PeerTraffic>,
+    /// Time of the alarm that is scheduled for each planner.
+    scheduled: Vec<Option<Micros>>,
+    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     now: Micros,
     events: u64,
     requests: u64,
@@ -79,7 +80,7 @@
 }
 
 impl Fleet {
-    /// Planners that all start within a moment, with one budget of places in flight among them.
+    /// Starts the planners shortly after each other, with one in-flight budget that they share.
     ///
     /// # Errors
     /// If one cannot be started.
@@ -90,9 +91,9 @@
         let all: Result<Vec<Planner>, _> = (0..planners).map(new).collect();
         let mut fleet = Fleet {
             planners: all.map_err(rejected)?,
-            said: vec![Said::default(); planners],
-            booked: vec![None; planners],
-            due: BinaryHeap::new(),
+            traffic: vec![PeerTraffic::default(); planners],
+            scheduled: vec![None; planners],
+            queue: BinaryHeap::new(),
             now: BEGIN,
             events: 0,
             requests: 0,
@@ -104,8 +105,8 @@
             let text = operators::fleet(planner, planners, voters.min(planners), in_flight);
             let (now, out) = (fleet.seconds(), &mut fleet.outputs);
             fleet.planners[planner].configure(now, &text, out).map_err(rejected)?;
-            fleet.after(planner);
-            fleet.book_request(planner);
+            fleet.schedule_outputs(planner);
+            fleet.schedule_request(planner);
         }
         fleet.now = BEGIN;
         Ok(fleet)
@@ -115,98 +116,98 @@
         self.now as f64 / SECOND
     }
 
-    fn at(&mut self, time: Micros, due: Due) {
+    fn schedule(&mut self, time: Micros, event: Event) {
         self.events += 1;
-        self.due.push(Reverse((time, self.events, due)));
+        self.queue.push(Reverse((time, self.events, event)));
     }
 
-    fn book_request(&mut self, planner: usize) {
+    fn schedule_request(&mut self, planner: usize) {
         if let Load::EachPerSecond(rate) = self.load {
-            self.at(self.now + (SECOND / rate) as Micros, Due::Request { planner });
+            self.schedule(self.now + (SECOND / rate) as Micros, Event::Request { planner });
         }
     }
 
-    /// Sends what a planner wrote, and books its next alarm.
-    fn after(&mut self, planner: usize) {
+    /// Schedules the datagrams that a planner sent, and its next alarm.
+    fn schedule_outputs(&mut self, planner: usize) {
         for output in std::mem::take(&mut self.outputs) {
             if let Output::ToPlanner { planner: to, bytes } = output {
-                self.said[planner].sent.add(bytes.len());
+                self.traffic[planner].sent.add(bytes.len());
                 let to = usize::from(to);
-                self.at(self.now + DELAY, Due::Datagram { from: planner, to, bytes });
+                self.schedule(self.now + DELAY, Event::Datagram { from: planner, to, bytes });
             }
         }
         let next = self.planners[planner].next_alarm();
         let Some(next) = next.map(|at| ((at * SECOND) as Micros + ROUNDING).max(self.now)) else { return };
-        if self.booked[planner].is_none_or(|booked| next < booked) {
-            self.booked[planner] = Some(next);
-            self.at(next, Due::Alarm { planner });
+        if self.scheduled[planner].is_none_or(|scheduled| next < scheduled) {
+            self.scheduled[planner] = Some(next);
+            self.schedule(next, Event::Alarm { planner });
         }
     }
 
-    fn step(&mut self, due: Due) -> io::Result<()> {
+    fn step(&mut self, event: Event) -> io::Result<()> {
         let (now, out) = (self.seconds(), &mut self.outputs);
-        let planner = match due {
-            Due::Alarm { planner } => {
-                // One that was booked before an earlier one came is of no use any more.
-                if self.booked[planner] != Some(self.now) {
+        let planner = match event {
+            Event::Alarm { planner } => {
+                // This alarm was superseded by an earlier one.
+                if self.scheduled[planner] != Some(self.now) {
                     return Ok(());
                 }
-                self.booked[planner] = None;
+                self.scheduled[planner] = None;
                 self.planners[planner].tick(now, out);
                 planner
             }
-            Due::Datagram { from, to, bytes } => {
-                self.said[to].heard.add(bytes.len());
+            Event::Datagram { from, to, bytes } => {
+                self.traffic[to].received.add(bytes.len());
                 self.planners[to].datagram(now, from as u16, &bytes, out).map_err(rejected)?;
                 to
             }
-            Due::Request { planner } => {
+            Event::Request { planner } => {
                 self.requests += 1;
                 let request = Request { id: self.requests, service: 7, cores: 1.0, at: None };
                 self.planners[planner].request(now, CONNECTION, &set_up(&request), out).map_err(rejected)?;
-                self.book_request(planner);
+                self.schedule_request(planner);
                 planner
             }
         };
-        self.after(planner);
+        self.schedule_outputs(planner);
         Ok(())
     }
 
-    /// Runs on for so long.
+    /// Runs the simulation for this time.
     ///
     /// # Errors
-    /// If a planner cannot read what another sent.
+    /// If a planner cannot parse a datagram.
     pub fn run(&mut self, span: Seconds) -> io::Result<()> {
         let until = self.now + (span * SECOND) as Micros;
-        while self.due.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
-            let Some(Reverse((at, _, due))) = self.due.pop() else { break };
+        while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
+            let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
             self.now = at;
-            self.step(due)?;
+            self.step(event)?;
         }
         self.now = until;
         Ok(())
     }
 
-    /// Runs until each planner holds its own slot; tells how many seconds that took.
+    /// Runs until each planner holds its own slot and returns how many seconds that took.
     ///
     /// # Errors
-    /// If that does not come within so many seconds.
+    /// If that takes longer than `within` seconds.
     pub fn settle(&mut self, within: Seconds) -> io::Result<Seconds> {
-        let looks = (within / LOOK_S) as usize;
-        for look in 1..=looks {
-            self.run(LOOK_S)?;
+        let checks = (within / CHECK_INTERVAL_S) as usize;
+        for check in 1..=checks {
+            self.run(CHECK_INTERVAL_S)?;
             let now = self.seconds();
             let settled = |planner: &mut Planner| planner.membership(now).is_some_and(|(_, own)| own);
             if self.planners.iter_mut().all(settled) {
-                return Ok(look as f64 * LOOK_S);
+                return Ok(check as f64 * CHECK_INTERVAL_S);
             }
         }
-        Err(io::Error::other(format!("the members have not settled within {within} s")))
+        Err(io::Error::other(format!("not all planners hold their own slot after {within} s")))
     }
 
-    /// What each planner said and heard since that was taken last.
-    pub fn take_said(&mut self) -> Vec<Said> {
-        let fresh = vec![Said::default(); self.said.len()];
-        std::mem::replace(&mut self.said, fresh)
+    /// Returns the datagrams of each planner since the last call of this method, and resets them.
+    pub fn take_traffic(&mut self) -> Vec<PeerTraffic> {
+        let empty = vec![PeerTraffic::default(); self.traffic.len()];
+        std::mem::replace(&mut self.traffic, empty)
     }
 }
--- a/lab/src/capacity/pick_machines.rs
+++ b/lab/src/capacity/pick_machines.rs
@@ -1,6 +1,6 @@
 //! Machines looked at for one pick, and what a pick and a whole ask cost, against machines.
 
-use super::count::{cost_of, needs_counts, Cost};
+use super::count::{cost_of, require_counting_allocator, Cost};
 use super::hollow_planner::{set_up, settings, HollowPlanner, Request};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use burlhook::{
@@ -33,7 +33,7 @@
 };
 
 fn run(machines: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let (looked_at, pick) = picks(machines)?;
     let ask = asks(machines)?;
     Ok(vec![
--- a/lab/src/capacity/planners.rs
+++ b/lab/src/capacity/planners.rs
@@ -1,6 +1,7 @@
-//! What planners that share budgets send each other and spend at rest, against their number; all of them processes.
+//! Traffic between planners that share budgets, and their costs at rest, as the number of planners grows.
+//! Each planner is a process.
 
-use super::bench::{Scene, MEMORY_MB, SETTLE, SOCKETS, WINDOW};
+use super::bench::{Scene, MEMORY_MB, REST_WINDOW, SETTLE_TIME, SOCKETS};
 use super::figures::Figures;
 use super::hollow_machine::HollowMachines;
 use super::record::Slope;
@@ -28,10 +29,10 @@
     format!("p{planner}")
 }
 
-/// The operators' file of a planner: one budget of the fleet, divided.
+/// The operators' file of planner `me`, with one in-flight budget that the fleet shares.
 fn operators(net: &Net, planners: usize, me: usize, listen: SocketAddr) -> String {
     let entry = |at: usize| {
-        // Its own entry is never used.
+        // A planner does not use its own entry.
         let address = if at == me { listen } else { net.address(me, at) };
         json!({"name": name(at), "address": address.to_string()})
     };
@@ -43,12 +44,16 @@
     format!("{{ fleet: {fleet}, {limits} }}")
 }
 
-/// What one planner of several spends at rest; the mean of all.
-struct Rest {
+/// Resource usage and traffic of a planner at rest: means over all planners.
+struct RestUsage {
+    /// Processor time as a share of one core.
     share: f64,
     resident_kib: f64,
+    /// Datagrams sent to other planners, per second.
     datagrams: f64,
+    /// Bytes of these datagrams, per second.
     bytes: f64,
+    /// Bytes to and from machines, per second.
     machine_bytes: f64,
 }
 
@@ -64,27 +69,27 @@
     Ok(all)
 }
 
-fn measure_one(options: &Options, planners: usize) -> io::Result<Rest> {
+fn measure_one(options: &Options, planners: usize) -> io::Result<RestUsage> {
     let hollow = HollowMachines::start(&options.laboratory, &Scene::of(MACHINES).plan)?;
     let net = Net::start(planners, SEED)?;
     let running = start(options, &hollow, &net, planners)?;
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     let usage = || running.iter().map(|p| Usage::of(p.id())).collect::<io::Result<Vec<Usage>>>();
     let (from, before, counts, sent) = (Instant::now(), usage()?, hollow.counts()?, net.counts());
-    std::thread::sleep(WINDOW);
+    std::thread::sleep(REST_WINDOW);
     let (seconds, after, counts_now, sent_now) =
         (from.elapsed().as_secs_f64(), usage()?, hollow.counts()?, net.counts());
     let each = planners as f64;
     let processor: f64 =
         before.iter().zip(&after).map(|(b, a)| (a.processor.saturating_sub(b.processor)).as_secs_f64()).sum();
     let sum = |of: &[Passed], what: fn(&Passed) -> u64| of.iter().map(what).sum::<u64>() as f64;
-    let grew = |what: fn(&Passed) -> u64| (sum(&sent_now, what) - sum(&sent, what)) / each / seconds;
+    let growth_per_s = |what: fn(&Passed) -> u64| (sum(&sent_now, what) - sum(&sent, what)) / each / seconds;
     let machine_bytes = (counts_now.bytes_in + counts_now.bytes_out) - (counts.bytes_in + counts.bytes_out);
-    Ok(Rest {
+    Ok(RestUsage {
         share: processor / each / seconds,
         resident_kib: after.iter().map(|u| u.resident_kib as f64).sum::<f64>() / each,
-        datagrams: grew(|passed| passed.came),
-        bytes: grew(|passed| passed.bytes),
+        datagrams: growth_per_s(|passed| passed.came),
+        bytes: growth_per_s(|passed| passed.bytes),
         machine_bytes: machine_bytes as f64 / each / seconds,
     })
 }
@@ -92,7 +97,7 @@
 /// Measures the slope.
 ///
 /// # Errors
-/// If a process cannot be started or is gone.
+/// If a process cannot be started or has ended.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let mut figures = Figures::default();
     for (planners, runs) in options.runs(SIZES, SHORT_SIZES) {
--- a/lab/src/capacity/restart_hollow.rs
+++ b/lab/src/capacity/restart_hollow.rs
@@ -1,6 +1,6 @@
 //! What a planner takes in at a restart, against machines and against standing tasks.
 
-use super::count::needs_counts;
+use super::count::require_counting_allocator;
 use super::hollow_planner::{full_list_line, set_up, HollowPlanner, Request};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT, TASK_SIZES, TASK_SIZES_SHORT};
 use std::io;
@@ -48,7 +48,7 @@
 }
 
 fn restart(machines: usize, tasks: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let mut hollow = HollowPlanner::new()?;
     let (kept, whole) = (full_list_line(1, machines), full_list_line(2, machines));
     let mut bytes = kept.len() + whole.len();
--- a/lab/src/capacity/standing.rs
+++ b/lab/src/capacity/standing.rs
@@ -1,30 +1,31 @@
-//! Standing tasks that a planner is handed as after a restart: set-ups that name the machine which holds the task.
+//! Hands a planner standing tasks, as clients do after its restart. A standing task already runs on a
+//! machine; its set-up message names that machine.
 
 use crate::load::{message, parameter};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Types of messages.
+/// Message types of the platform protocol: a set-up, a test of the connection, and the answer to a test.
 const SET_UP: u8 = 1;
 const TEST: u8 = 52;
 const TESTED: u8 = 53;
-/// Codes of parameters.
+/// Parameter codes of the platform protocol.
 const CLASS: u8 = 3;
 const WAIT: u8 = 4;
 const NAME: u8 = 7;
 const FIGURES: u8 = 8;
 const CAUSE: u8 = 17;
 
-/// Within so long all tasks are taken in.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Ids of these tasks follow this one; asks have others.
+/// The longest time for the planner to accept all tasks.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(60);
+/// The first id of these tasks; requests of the load have lower ids.
 const IDS_AFTER: u64 = 1 << 48;
 
-/// Tasks that stand; the client's connection is open as long as this is kept.
-pub struct Standing {
+/// Standing tasks that a planner has accepted; the client's connection stays open until this is dropped.
+pub struct StandingTasks {
     _client: TcpStream,
-    /// From the first set-up until all were taken in.
+    /// From the first set-up until the planner had accepted all.
     pub taken_in: Duration,
 }
 
@@ -40,27 +41,29 @@
     message(SET_UP, id, &parameters.concat())
 }
 
-/// Hands a planner tasks that stand, evenly over its machines, and waits until it has taken them in: a test behind them
-/// on the same connection is answered after them.
+/// Hands a planner standing tasks, evenly over its machines, and waits until it has accepted them: it answers
+/// a test that is sent after them on the same connection only once it has handled them.
 ///
 /// # Errors
-/// If the planner cannot be reached, or does not take them in in time.
-pub fn hand_over(to: SocketAddr, tasks: usize, machines: usize) -> io::Result<Standing> {
+/// If the planner cannot be connected to or does not answer in time.
+pub fn hand_over(to: SocketAddr, tasks: usize, machines: usize) -> io::Result<StandingTasks> {
     let mut client = TcpStream::connect(to)?;
     client.set_nodelay(true)?;
-    client.set_read_timeout(Some(PATIENCE))?;
-    client.set_write_timeout(Some(PATIENCE))?;
+    client.set_read_timeout(Some(HANDOVER_TIMEOUT))?;
+    client.set_write_timeout(Some(HANDOVER_TIMEOUT))?;
     let mut messages: Vec<u8> = (0..tasks).flat_map(|task| set_up(task, machines)).collect();
     messages.extend(message(TEST, IDS_AFTER - 1, &[CAUSE, 0, 1, 0]));
     let from = Instant::now();
     client.write_all(&messages)?;
-    // Tasks that stand want no answer, so the test's is the only one.
+    // Set-ups of standing tasks are not answered, so the first answer is that to the test.
     let mut length = [0; 2];
     client.read_exact(&mut length)?;
-    let mut said = vec![0; usize::from(u16::from_be_bytes(length))];
-    client.read_exact(&mut said)?;
-    match said.first() {
-        Some(&TESTED) => Ok(Standing { _client: client, taken_in: from.elapsed() }),
-        kind => Err(io::Error::other(format!("a message of type {kind:?}, not the test's answer"))),
+    let mut answer = vec![0; usize::from(u16::from_be_bytes(length))];
+    client.read_exact(&mut answer)?;
+    match answer.first() {
+        Some(&TESTED) => Ok(StandingTasks { _client: client, taken_in: from.elapsed() }),
+        kind => Err(io::Error::other(format!(
+            "planner answered with message type {kind:?} instead of the answer to the test ({TESTED})"
+        ))),
     }
 }
--- a/lab/src/capacity/state.rs
+++ b/lab/src/capacity/state.rs
@@ -1,25 +1,25 @@
-//! Bytes of state that a planner keeps, against machines and against standing tasks.
+//! Bytes of state that a planner keeps, as machines or standing tasks grow.
 
-use super::count::needs_counts;
+use super::count::require_counting_allocator;
 use super::hollow_planner::{full_list_line, set_up, HollowPlanner, Request};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT, TASK_SIZES, TASK_SIZES_SHORT};
 use std::io;
 
-/// Count. Machines where standing tasks grow.
+/// Number of machines while standing tasks grow.
 const MACHINES: usize = 400;
-/// Count. Tasks between two whole lists.
-const TASKS_A_LIST: usize = 1_000;
+/// Number of tasks between two full machine lists.
+const TASKS_PER_LIST: usize = 1_000;
 /// Seconds between two tasks.
 const GAP_S: f64 = 0.001;
-/// Seconds after the last task until what is kept of its start has lapsed.
-const REST_S: f64 = 20.0;
-/// Cores, and units of memory, that a task asks for.
+/// Seconds after the last task until the state that is kept only for its start has expired.
+const EXPIRY_S: f64 = 20.0;
+/// Cores, and units of memory, of a task.
 const ROOM: f64 = 0.1;
 
 const REAL: &str = "the reducer with its books, the placer and the vocabulary, by the allocator's count";
 const HOLLOW: &str = "no process, no sockets: queues, tasks and buffers of connections are not in it";
 
-/// Against machines.
+/// State against the number of machines.
 pub const MACHINE: Ladder = Ladder {
     name: "state-machines",
     question: "How many bytes of state does a planner keep, as machines grow?",
@@ -32,7 +32,7 @@
     run: by_machines,
 };
 
-/// Against standing tasks.
+/// State against the number of standing tasks.
 pub const TASK: Ladder = Ladder {
     name: "state-tasks",
     question: "How many bytes of state does a planner keep, as standing tasks grow?",
@@ -46,7 +46,7 @@
 };
 
 fn by_machines(machines: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let mut hollow = HollowPlanner::with_machines(machines)?;
     let held = hollow.take_cost().allocated.held as f64;
     Ok(vec![
@@ -56,28 +56,28 @@
 }
 
 fn by_tasks(tasks: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let mut hollow = HollowPlanner::with_machines(MACHINES)?;
-    let of_machines = hollow.take_cost().allocated.held as f64;
+    let machine_bytes = hollow.take_cost().allocated.held as f64;
     let mut revision = 1;
     for task in 0..tasks {
         let id = hollow.next_request();
         hollow.request(&set_up(&Request { id, service: 7, cores: ROOM, at: None }))?;
         hollow.advance(GAP_S)?;
-        if task % TASKS_A_LIST == 0 {
+        if task % TASKS_PER_LIST == 0 {
             revision += 1;
             hollow.list(&full_list_line(revision, MACHINES))?;
         }
     }
-    hollow.advance(REST_S)?;
+    hollow.advance(EXPIRY_S)?;
     hollow.list(&full_list_line(revision + 1, MACHINES))?;
     let held = hollow.take_cost().allocated.held as f64;
     let standing: usize = hollow.machines().map(|machine| hollow.planner.standing_at(machine)).sum();
     if standing != tasks {
-        return Err(io::Error::other(format!("{standing} of {tasks} tasks stand")));
+        return Err(io::Error::other(format!("planner holds {standing} of {tasks} standing tasks")));
     }
     Ok(vec![
-        Sample::count("bytes of state", "bytes", of_machines + held),
+        Sample::count("bytes of state", "bytes", machine_bytes + held),
         Sample::count("bytes of state a standing task", "bytes", held / tasks as f64),
     ])
 }
--- a/lab/src/capacity/usage.rs
+++ b/lab/src/capacity/usage.rs
@@ -1,30 +1,31 @@
-//! What a process has used, by the operating system's count.
+//! Reads the processor time and memory of a process from `/proc`.
 
 use std::io;
 use std::path::Path;
 use std::time::Duration;
 
-/// What a process has used so far.
+/// Resources that a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time of all its threads, to the nanosecond.
+    /// Processor time of all threads that have not ended, with nanosecond resolution.
     pub processor: Duration,
     /// Resident memory now, in KiB.
     pub resident_kib: u64,
-    /// The most resident memory that it had, in KiB.
+    /// Peak resident memory, in KiB.
     pub peak_kib: u64,
 }
 
 impl Usage {
-    /// What the process of this number has used.
+    /// Reads the usage of the process with this id.
     ///
     /// # Errors
-    /// If it is gone.
+    /// If the process has ended.
     pub fn of(process: u32) -> io::Result<Usage> {
         let mut processor = Duration::ZERO;
-        // A thread that has ended is in nobody's count: the planner runs on one that lives as long as the process.
+        // Time of threads that have ended is not counted. The planner runs on one thread, which lives as long
+        // as the process.
         for thread in std::fs::read_dir(format!("/proc/{process}/task"))? {
-            processor += of_thread(&thread?.path())?;
+            processor += thread_time(&thread?.path())?;
         }
         let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
         let field = |name| status.lines().find_map(|line| line.strip_prefix(name)).map_or(0, first_number);
@@ -32,13 +33,15 @@
     }
 }
 
-/// Processor time of a thread; none of one that ended since the folder was listed.
-fn of_thread(folder: &Path) -> io::Result<Duration> {
-    /// No such process.
-    const GONE: i32 = 3;
+/// Processor time of a thread; zero if it ended after the folder was listed.
+fn thread_time(folder: &Path) -> io::Result<Duration> {
+    /// The error code ESRCH: no such process.
+    const ESRCH: i32 = 3;
     match std::fs::read_to_string(folder.join("schedstat")) {
         Ok(count) => Ok(Duration::from_nanos(first_number(&count))),
-        Err(e) if e.kind() == io::ErrorKind::NotFound || e.raw_os_error() == Some(GONE) => Ok(Duration::ZERO),
+        Err(e) if e.kind() == io::ErrorKind::NotFound || e.raw_os_error() == Some(ESRCH) => {
+            Ok(Duration::ZERO)
+        }
         Err(error) => Err(error),
     }
 }
