--- a/lab/src/capacity/admission.rs
+++ b/lab/src/capacity/admission.rs
@@ -1,4 +1,4 @@
-//! What it costs to admit a request, against routes of the operators' file and against tenants with quotas.
+//! The cost of admitting a request, as routes of the operators' file or tenants with quotas grow.
 
 use super::count::{cost_of, require_counting_allocator, Cost};
 use super::hollow_planner::{operators, settings};
@@ -10,18 +10,18 @@
 use std::io;
 use std::sync::Arc;
 
-/// Count. Admissions that are measured.
+/// Number of admissions that are measured.
 const ADMISSIONS: usize = 2_000;
-/// Count. Picks for tenants that are measured.
+/// Number of picks for tenants that are measured.
 const PICKS: usize = 200;
-/// Count. Machines of the picks for tenants.
+/// Number of machines for these picks.
 const MACHINES: usize = 20;
-/// A step through all routes that visits them out of order.
+/// Step from one route or tenant to the next, so that they are not visited in order.
 const STRIDE: usize = 7_919;
-/// Seconds between two requests.
+/// Time between two requests.
 const GAP_S: Seconds = 0.005;
 
-/// Admission against routes.
+/// Cost of an admission against the number of routes.
 pub const ROUTES: Ladder = Ladder {
     name: "admission-routes",
     question: "What does it cost to admit a request, as routes with a rate and places in flight grow?",
@@ -34,7 +34,7 @@
     run: routes,
 };
 
-/// A pick for tenants with quotas, against tenants.
+/// Cost of a pick for a tenant with a quota against the number of tenants.
 pub const QUOTAS: Ladder = Ladder {
     name: "admission-quotas",
     question: "What does it cost to serve a request of a tenant, as tenants with quotas grow?",
@@ -47,7 +47,7 @@
     run: quotas,
 };
 
-/// The limits with so many routes in force.
+/// Limits with this many routes in force.
 fn limits_of(routes: usize, settings: &Settings, classes: &[String]) -> io::Result<Limits> {
     let text = Text::new("operators.json5", operators::routes(routes));
     let root = document::parse(&text).map_err(|faults| io::Error::other(faults.lines().join("; ")))?;
@@ -58,8 +58,9 @@
         .section()
         .and_then(|section| section.get("limits"))
         .map(|item| limits::read(&item, context).0);
-    let model =
-        model.filter(|_| sink.count() == 0).ok_or_else(|| io::Error::other("the routes have faults"))?;
+    let model = model
+        .filter(|_| sink.count() == 0)
+        .ok_or_else(|| io::Error::other("the generated operators' file has errors in its limits"))?;
     let mut limits = Limits::new(settings, classes.to_vec());
     limits.swap(0.0, Arc::new(Table::new(model, settings, None)));
     Ok(limits)
@@ -67,8 +68,8 @@
 
 fn routes(routes: usize) -> io::Result<Vec<Sample>> {
     require_counting_allocator()?;
-    let (settings, words) = vocabulary::settings(&settings()).map_err(io::Error::other)?;
-    let classes = words.classes().to_vec();
+    let (settings, names) = vocabulary::settings(&settings()).map_err(io::Error::other)?;
+    let classes = names.classes().to_vec();
     let (limits, in_force) = cost_of(|| limits_of(routes, &settings, &classes));
     let mut limits = limits?;
     let services: Vec<String> = (0..routes).map(operators::service).collect();
@@ -78,11 +79,11 @@
         now += GAP_S;
         let service = &services[number * STRIDE % routes];
         let room = Room { cores: 1.0, memory: 1.0 };
-        let (admitted, of_one) = cost_of(|| admit(&mut limits, now, service, room));
+        let (admitted, admission_cost) = cost_of(|| admit(&mut limits, now, service, room));
         admitted?;
-        // The first half visits the routes for the first time.
+        // The first half is a warm-up, in which routes are visited for the first time.
         if number >= ADMISSIONS {
-            cost.add(of_one);
+            cost.add(admission_cost);
         }
     }
     Ok(vec![
@@ -97,8 +98,9 @@
     let subject = Subject { front: Front::Platform, class: 0, service, room };
     let resolved = limits.resolve(&subject).ok_or_else(|| io::Error::other("no route matches"))?;
     let ticket = limits.admit(now, &resolved, now + 1.0);
-    let ticket = ticket.map_err(|turned| io::Error::other(format!("{turned:?}")))?;
-    let ticket = ticket.ok_or_else(|| io::Error::other("nothing was counted"))?;
+    let ticket = ticket.map_err(|refusal| io::Error::other(format!("request not admitted: {refusal:?}")))?;
+    let ticket = ticket
+        .ok_or_else(|| io::Error::other("admission returned no ticket, although the route has limits"))?;
     limits.first_try(now, &ticket);
     limits.over(now, ticket);
     Ok(())
@@ -116,9 +118,9 @@
         let request = RequestId(number as u64 + 1);
         let mut task = task(now);
         task.tenant = Some(number * STRIDE % tenants);
-        let (_, of_pick) = cost_of(|| placer.handle(now, Event::Submitted { request, task }, &mut actions));
+        let (_, pick_cost) = cost_of(|| placer.handle(now, Event::Submitted { request, task }, &mut actions));
         if number >= PICKS {
-            cost.add(of_pick);
+            cost.add(pick_cost);
         }
         if !actions.drain(..).any(|action| matches!(action, Action::Bind { .. })) {
             return Err(io::Error::other("a pick found no machine"));
--- a/lab/src/capacity/ask_rate.rs
+++ b/lab/src/capacity/ask_rate.rs
@@ -1,4 +1,5 @@
-//! One planner against the rate of asks, and the greatest rate that it keeps up with on one core.
+//! Costs of one planner as the rate of requests grows, and the highest rate that it keeps up with on one
+//! core.
 
 use super::bench::{Bench, Scene};
 use super::figures::Figures;
@@ -12,19 +13,21 @@
 /// The slope of this module.
 pub const NAMES: &[&str] = &["ask-rate"];
 
+/// Requests per second.
 const RATES: &[usize] =
     &[50, 100, 200, 400, 600, 800, 1_000, 1_200, 1_400, 1_600, 2_000, 2_400, 2_800, 3_200];
 const SHORT_RATES: &[usize] = &[25, 50, 100, 200, 400];
 const MACHINES: usize = 400;
-/// So long is asked at each rate.
+/// Time for which requests are sent at each rate.
 const SPAN: Duration = Duration::from_secs(3);
-/// Milliseconds of a task's life: at the greatest rate under a tenth of all slots are taken.
+/// Run time of a task. At the highest rate, less than a tenth of all slots are taken.
 const LIFE_MS: u64 = 250;
 
-/// Measures the slope: each run takes a planner from rate to rate until it does not keep up.
+/// Measures the slope: each run raises the rate at one planner step by step until the planner does not keep
+/// up.
 ///
 /// # Errors
-/// If a process cannot be started or is gone.
+/// If a process cannot be started or has ended.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let mut figures = Figures::default();
     let rates = if options.short { SHORT_RATES } else { RATES };
--- a/lab/src/capacity/config_parse.rs
+++ b/lab/src/capacity/config_parse.rs
@@ -1,4 +1,4 @@
-//! What it costs to read an operators' file and to put it in force, against its routes.
+//! The cost of parsing an operators' file and of applying it, as its routes grow.
 
 use super::count::{cost_of, require_counting_allocator};
 use super::hollow_planner::{operators, rejected, HollowPlanner};
@@ -27,7 +27,7 @@
     read.map_err(rejected)?;
     hollow.configure(&text)?;
     hollow.take_cost();
-    // The same once more, as a reload finds it.
+    // The measured run replaces a file that is in force, as a reload does.
     hollow.configure(&text)?;
     let in_force = hollow.take_cost();
     Ok(vec![
--- a/lab/src/capacity/config_rate.rs
+++ b/lab/src/capacity/config_rate.rs
@@ -1,4 +1,4 @@
-//! New operators' files against how often one comes.
+//! The cost of new operators' files, as their rate grows.
 
 use super::bench::{Bench, Scene};
 use super::config_size::{file, in_force};
@@ -12,53 +12,55 @@
 /// The slope of this module.
 pub const NAMES: &[&str] = &["config-rate"];
 
-/// Changes in a thousand seconds.
+/// Changes per 1,000 seconds.
 const RATES: &[u64] = &[100, 200, 400, 720, 1_500];
 const ROUTES: usize = 720;
 const MACHINES: usize = 20;
-/// Changes come over so long at least, and longer where one would not come.
+/// The least time over which changes are made; at low rates it is long enough for one change.
 const SPAN: Duration = Duration::from_secs(5);
-/// The same in the short form.
+/// The same for short runs.
 const SHORT_SPAN: Duration = Duration::from_secs(2);
-/// The short form has so many times the rates.
+/// Short runs multiply the rates by this.
 const SHORT_FACTOR: u64 = 10;
 
-/// Milliseconds from the last write to in force, and the share of a core over the time.
+/// Measurements at one rate.
 struct Cost {
     changes: u64,
+    /// Time from the last write of a file until it is in force.
     in_force_ms: f64,
+    /// Processor time as a share of one core.
     share: f64,
 }
 
 /// The time between two changes.
-fn every(per_ks: u64) -> Duration {
+fn interval(per_ks: u64) -> Duration {
     Duration::from_secs_f64(1e3 / per_ks as f64)
 }
 
-fn measure_one(bench: &Bench, per_ks: u64, span: Duration, turn: &mut usize) -> io::Result<Cost> {
+fn measure_one(bench: &Bench, per_ks: u64, span: Duration, version: &mut usize) -> io::Result<Cost> {
     let generation = in_force(bench)?.generation;
-    let every = every(per_ks);
+    let interval = interval(per_ks);
     let mut last = SystemTime::now();
     let mut changes = 0;
     let ((), window) = bench.during(|| {
         let from = Instant::now();
-        let mut due = every / 2;
+        let mut due = interval / 2;
         while due < span {
-            *turn += 1;
-            let text = file(ROUTES, *turn);
+            *version += 1;
+            let text = file(ROUTES, *version);
             std::thread::sleep(due.saturating_sub(from.elapsed()));
             last = SystemTime::now();
             bench.planner.reload(&text)?;
             changes += 1;
-            due += every;
+            due += interval;
         }
         std::thread::sleep(span.saturating_sub(from.elapsed()));
         Ok(())
     })?;
     let now = in_force(bench)?;
     if now.generation != generation + changes {
-        let came = now.generation - generation;
-        return Err(io::Error::other(format!("{came} of {changes} files came into force")));
+        let applied = now.generation - generation;
+        return Err(io::Error::other(format!("{applied} of {changes} operators' files came into force")));
     }
     let last_ms = last.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1e3;
     Ok(Cost { changes, in_force_ms: now.since_ms - last_ms, share: window.share() })
@@ -67,19 +69,19 @@
 /// Measures the slope.
 ///
 /// # Errors
-/// If a process cannot be started or is gone, or a file does not come into force.
+/// If a process cannot be started or has ended, or a file does not come into force.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let mut figures = Figures::default();
     let scene = Scene { operators: Some(file(ROUTES, 0)), ..Scene::of(MACHINES) };
     let bench = Bench::start(options, scene)?;
     bench.reach()?;
     let rest_share = bench.rest()?.share();
-    let (factor, least) = if options.short { (SHORT_FACTOR, SHORT_SPAN) } else { (1, SPAN) };
-    let mut turn = 0;
+    let (factor, min_span) = if options.short { (SHORT_FACTOR, SHORT_SPAN) } else { (1, SPAN) };
+    let mut version = 0;
     for number in 1..=options.repeats {
         for per_ks in RATES.iter().map(|rate| rate * factor) {
-            let span = least.max(every(per_ks));
-            let cost = measure_one(&bench, per_ks, span, &mut turn)?;
+            let span = min_span.max(interval(per_ks));
+            let cost = measure_one(&bench, per_ks, span, &mut version)?;
             let size = per_ks as f64 / 1e3;
             figures.measured("processor time of changes", "share of a core", size, cost.share - rest_share);
             figures.measured("from the last write to in force", "ms", size, cost.in_force_ms);
--- a/lab/src/capacity/config_size.rs
+++ b/lab/src/capacity/config_size.rs
@@ -1,4 +1,4 @@
-//! A new operators' file against its size: how long until it is in force, and what it costs.
+//! The time until a new operators' file is in force, and its cost, as the file grows.
 
 use super::bench::{Bench, Scene};
 use super::figures::Figures;
@@ -16,47 +16,48 @@
 const SIZES: &[usize] = &[10, 100, 720, 2_000, 5_000, 10_000];
 const SHORT_SIZES: &[usize] = &[10, 50, 100, 200, 720];
 const MACHINES: usize = 20;
-/// After the signal the planner is left alone for so long, and then asked what is in force.
-const LEFT_ALONE: Duration = Duration::from_millis(1_000);
-/// A file that is not in force by then never will be.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Wait after the signal before the first query of the limits in force, so that queries do not add to the
+/// measured cost.
+const FIRST_POLL_DELAY: Duration = Duration::from_millis(1_000);
+/// The longest wait for a file to come into force.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An operators' file with so many routes, different from turn to turn.
-pub(super) fn file(routes: usize, turn: usize) -> String {
+/// An operators' file with this many routes; its content differs between versions.
+pub(super) fn file(routes: usize, version: usize) -> String {
     let mut text =
         String::from("{ rest: { listen: \"127.0.0.1:0\" }, limits: { default: { attempts: 4 }, routes: [\n");
     for route in 0..routes {
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = writeln!(
             text,
             "{{ name: \"team-{route}\", match: {{ service: \"team-{route}-*\" }}, inFlight: {}, ratePerS: 50, burst: 100 }},",
-            100 + turn
+            100 + version
         );
     }
     text + "] } }\n"
 }
 
-/// Milliseconds of the Unix clock.
+/// A time in milliseconds of the Unix clock.
 fn unix_ms(at: SystemTime) -> f64 {
     at.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1e3
 }
 
-/// What a planner tells of the limits in force.
+/// The limits in force, as a planner reports them.
 pub(super) struct InForce {
-    /// Files that came into force so far.
+    /// Number of files that came into force since the start.
     pub generation: u64,
-    /// Since when, in milliseconds of the Unix clock.
+    /// When the current limits came into force, in milliseconds of the Unix clock.
     pub since_ms: f64,
 }
 
 pub(super) fn in_force(bench: &Bench) -> io::Result<InForce> {
-    let said = bench.planner.get("/v1/limits")?;
-    let since = said["since"].as_str().and_then(|text| chrono::DateTime::parse_from_rfc3339(text).ok());
+    let limits = bench.planner.get("/v1/limits")?;
+    let since = limits["since"].as_str().and_then(|text| chrono::DateTime::parse_from_rfc3339(text).ok());
     let since_ms = since.map_or(f64::NAN, |time| time.timestamp_millis() as f64);
-    Ok(InForce { generation: said["generation"].as_u64().unwrap_or_default(), since_ms })
+    Ok(InForce { generation: limits["generation"].as_u64().unwrap_or_default(), since_ms })
 }
 
-/// What a new file cost.
+/// Measurements of one new file.
 #[derive(Clone, Copy, Debug)]
 struct Change {
     in_force_ms: f64,
@@ -66,7 +67,7 @@
 fn change(bench: &Bench, text: &str, generation: u64, rest_share: f64) -> io::Result<Change> {
     let (from, written, before) = (Instant::now(), SystemTime::now(), Usage::of(bench.planner.id())?);
     bench.planner.reload(text)?;
-    let mut wait = LEFT_ALONE;
+    let mut wait = FIRST_POLL_DELAY;
     loop {
         std::thread::sleep(wait);
         let after = Usage::of(bench.planner.id())?;
@@ -77,17 +78,17 @@
                 after.processor.saturating_sub(before.processor).as_secs_f64() * 1e3 - at_rest_ms;
             return Ok(Change { in_force_ms: now.since_ms - unix_ms(written), processor_ms });
         }
-        if from.elapsed() > PATIENCE {
-            return Err(io::Error::other("a new operators' file does not come into force"));
+        if from.elapsed() > IN_FORCE_TIMEOUT {
+            return Err(io::Error::other("new operators' file was not in force within 20 s"));
         }
         wait *= 2;
     }
 }
 
-/// Measures the slope: one planner, files of all sizes by turns.
+/// Measures the slope: one planner, to which files of all sizes are applied in turn.
 ///
 /// # Errors
-/// If a process cannot be started or is gone, or a file does not come into force.
+/// If a process cannot be started or has ended, or a file does not come into force.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let mut figures = Figures::default();
     let scene = Scene { operators: Some(file(1, 0)), ..Scene::of(MACHINES) };
--- a/lab/src/capacity/gang_machines.rs
+++ b/lab/src/capacity/gang_machines.rs
@@ -1,4 +1,5 @@
-//! What a gang of 128 costs against machines: the look whether it fits, and the whole of it until it stands.
+//! The cost of a gang of 128 tasks as machines grow: the check whether it fits, and all work until every
+//! member runs.
 
 use super::count::{cost_of, require_counting_allocator};
 use super::hollow_planner::{operators, HollowPlanner};
@@ -8,11 +9,11 @@
 use burlhook::Room;
 use std::io;
 
-/// Count. Members of a gang; the operators' file allows up to 256.
+/// Number of members of a gang; the operators' file allows up to 256.
 const MEMBERS: usize = 128;
-/// Cores, and units of memory, that each member asks for.
+/// Cores, and units of memory, of each member.
 const ROOM: Room = Room { cores: 1.0, memory: 1.0 };
-/// Share of the fleet that one gang may ask for.
+/// Share of the fleet that one gang may use.
 const SHARE: f64 = 1.0;
 
 /// The slope.
@@ -36,7 +37,7 @@
     let placer = placer(machines, now, |_| {})?;
     let needs = vec![Need { room: ROOM, kind: None }; MEMBERS];
     let (fits, fit) = cost_of(|| admit(&needs, &placer.spaces(now), &[], SHARE));
-    fits.map_err(|lacks| io::Error::other(format!("{lacks:?}")))?;
+    fits.map_err(|shortage| io::Error::other(format!("gang does not fit: {shortage:?}")))?;
 
     let mut hollow = HollowPlanner::with_machines(machines)?;
     hollow.configure(&operators::groups(MEMBERS))?;
@@ -46,7 +47,10 @@
     hollow.advance(1.0)?;
     let cost = hollow.take_cost();
     if hollow.placed != MEMBERS as u64 || hollow.planner.pending() > 0 {
-        return Err(io::Error::other(format!("{} of {MEMBERS} members stand", hollow.placed)));
+        return Err(io::Error::other(format!(
+            "{} of {MEMBERS} members of the gang were placed",
+            hollow.placed
+        )));
     }
     let looked_at = hollow.planner.looked_at() - before;
     Ok(vec![
--- a/lab/src/capacity/list_machines.rs
+++ b/lab/src/capacity/list_machines.rs
@@ -1,13 +1,13 @@
-//! What the machine list costs against machines: the whole list, and a change of one machine.
+//! The cost of the full machine list, and of a change of one machine, as machines grow.
 
 use super::count::require_counting_allocator;
 use super::hollow_planner::{change_line, full_list_line, HollowPlanner};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use std::io;
 
-/// Count. Changes of one machine that are measured.
+/// Number of changes of one machine that are measured.
 const CHANGES: usize = 20;
-/// Seconds between two lines of the list.
+/// Time between two lines of the list.
 const GAP_S: f64 = 1.0;
 
 /// The slope.
@@ -30,7 +30,7 @@
     let line = full_list_line(2, machines);
     hollow.take_cost();
     hollow.list(&line)?;
-    let whole = hollow.take_cost();
+    let full_list = hollow.take_cost();
     let (mut revision, mut change_bytes) = (2, 0);
     for change in 0..CHANGES {
         hollow.advance(GAP_S)?;
@@ -42,9 +42,9 @@
     let change = hollow.take_cost();
     Ok(vec![
         Sample::count("bytes of a whole list", "bytes", line.len() as f64),
-        Sample::count("allocations of a whole list", "count", whole.allocations_each(1)),
-        Sample::count("bytes allocated by a whole list", "bytes", whole.bytes_each(1)),
-        Sample::time("processor time of a whole list", "ms", whole.processor.as_secs_f64() * 1e3),
+        Sample::count("allocations of a whole list", "count", full_list.allocations_each(1)),
+        Sample::count("bytes allocated by a whole list", "bytes", full_list.bytes_each(1)),
+        Sample::time("processor time of a whole list", "ms", full_list.processor.as_secs_f64() * 1e3),
         Sample::count("bytes of a change", "bytes", change_bytes as f64),
         Sample::count("allocations of a change", "count", change.allocations_each(CHANGES)),
         Sample::count("bytes allocated by a change", "bytes", change.bytes_each(CHANGES)),
--- a/lab/src/capacity/pick_machines.rs
+++ b/lab/src/capacity/pick_machines.rs
@@ -1,4 +1,5 @@
-//! Machines looked at for one pick, and what a pick and a whole ask cost, against machines.
+//! The number of machines that a pick examines, and the cost of a pick and of a whole request, as machines
+//! grow.
 
 use super::count::{cost_of, require_counting_allocator, Cost};
 use super::hollow_planner::{set_up, settings, HollowPlanner, Request};
@@ -9,13 +10,13 @@
 };
 use std::io;
 
-/// Count. Picks and asks before the measured ones, so that buffers have their size.
-const WARM: usize = 40;
-/// Count. Picks and asks that are measured.
+/// Number of picks and requests before the measured ones, so that buffers have reached their size.
+const WARM_UP: usize = 40;
+/// Number of picks and requests that are measured.
 const MEASURED: usize = 100;
-/// Seconds between two asks: 200 a second.
+/// Time between two requests: 200 per second.
 const GAP_S: Seconds = 0.005;
-/// Cores, and units of memory, that each asks for.
+/// Cores, and units of memory, of each request.
 const ROOM: f64 = 0.5;
 
 /// The slope.
@@ -47,7 +48,7 @@
     ])
 }
 
-/// A placer that knows so many machines, all free, with changed settings.
+/// A placer with this many machines, all of them free. `change` adjusts the settings.
 ///
 /// # Errors
 /// If it cannot be started.
@@ -70,7 +71,7 @@
     Ok(placer)
 }
 
-/// A task of the first class, which may run anywhere.
+/// A task of the first class that may run on any machine.
 pub fn task(now: Seconds) -> Task {
     Task {
         class: 0,
@@ -87,13 +88,13 @@
     let mut now = 1_000.0;
     let mut placer = placer(machines, now, |_| {})?;
     let (mut cost, mut looked_at, mut actions) = (Cost::default(), 0, Vec::with_capacity(16));
-    for number in 0..WARM + MEASURED {
+    for number in 0..WARM_UP + MEASURED {
         now += GAP_S;
         let (request, task) = (RequestId(number as u64 + 1), task(now));
         let before = placer.looked_at;
-        let (_, of_pick) = cost_of(|| placer.handle(now, Event::Submitted { request, task }, &mut actions));
-        if number >= WARM {
-            cost.add(of_pick);
+        let (_, pick_cost) = cost_of(|| placer.handle(now, Event::Submitted { request, task }, &mut actions));
+        if number >= WARM_UP {
+            cost.add(pick_cost);
             looked_at += placer.looked_at - before;
         }
         let bound = actions.drain(..).any(|action| matches!(action, Action::Bind { .. }));
@@ -107,7 +108,7 @@
     Ok((looked_at, cost))
 }
 
-/// The end of a task that ran.
+/// The event that a task has run and ended.
 pub fn ended(request: RequestId) -> burlhook::End {
     let (outcome, reason) = (burlhook::Outcome::Ok, burlhook::Reason::Unknown);
     burlhook::End { request, attempt: 0, outcome, reason, finished: true, last: false, report: None }
@@ -115,8 +116,8 @@
 
 fn asks(machines: usize) -> io::Result<Cost> {
     let mut hollow = HollowPlanner::with_machines(machines)?;
-    for number in 0..WARM + MEASURED {
-        if number == WARM {
+    for number in 0..WARM_UP + MEASURED {
+        if number == WARM_UP {
             hollow.take_cost();
         }
         hollow.advance(GAP_S)?;
@@ -124,7 +125,7 @@
         let message = set_up(&Request { id, service: 7, cores: ROOM, at: None });
         hollow.request(&message)?;
         let Some(machine) = hollow.placed_at.take() else {
-            return Err(io::Error::other("an ask was not placed"));
+            return Err(io::Error::other("a request was not placed"));
         };
         hollow.end(machine, id)?;
     }
--- a/lab/src/capacity/rest_hollow.rs
+++ b/lab/src/capacity/rest_hollow.rs
@@ -1,10 +1,10 @@
-//! What the reducer does at rest, against machines: how often it is woken, and what it writes.
+//! How often the reducer is woken at rest, and what it sends to machines, as machines grow.
 
 use super::hollow_planner::HollowPlanner;
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use std::io;
 
-/// Seconds at rest that are counted.
+/// Length of the measurement at rest, in seconds.
 const REST_S: f64 = 60.0;
 
 /// The slope.
--- a/lab/src/capacity/restart_hollow.rs
+++ b/lab/src/capacity/restart_hollow.rs
@@ -1,11 +1,11 @@
-//! What a planner takes in at a restart, against machines and against standing tasks.
+//! The cost of the input that a planner processes at a restart, as machines or standing tasks grow.
 
 use super::count::require_counting_allocator;
 use super::hollow_planner::{full_list_line, set_up, HollowPlanner, Request};
 use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT, TASK_SIZES, TASK_SIZES_SHORT};
 use std::io;
 
-/// Count. Machines where standing tasks grow.
+/// Number of machines while standing tasks grow.
 const MACHINES: usize = 400;
 
 const REAL: &str = "the codecs of the list and of the clients, the reducer and the placer";
@@ -13,7 +13,7 @@
     "no process, no sockets, no connections to machines: the kept list, the list of the source and the \
                       clients' tasks are handed in one after the other";
 
-/// Against machines.
+/// Cost against the number of machines.
 pub const BY_MACHINES: Ladder = Ladder {
     name: "restart-hollow",
     question: "What does a planner take in at a restart, as machines grow?",
@@ -26,7 +26,7 @@
     run: by_machines,
 };
 
-/// Against standing tasks.
+/// Cost against the number of standing tasks.
 pub const BY_TASKS: Ladder = Ladder {
     name: "restart-hollow-tasks",
     question: "What does a planner take in at a restart, as standing tasks grow?",
@@ -50,11 +50,11 @@
 fn restart(machines: usize, tasks: usize) -> io::Result<Vec<Sample>> {
     require_counting_allocator()?;
     let mut hollow = HollowPlanner::new()?;
-    let (kept, whole) = (full_list_line(1, machines), full_list_line(2, machines));
-    let mut bytes = kept.len() + whole.len();
+    let (stored, full) = (full_list_line(1, machines), full_list_line(2, machines));
+    let mut bytes = stored.len() + full.len();
     hollow.take_cost();
-    hollow.kept_list(&kept)?;
-    hollow.list(&whole)?;
+    hollow.kept_list(&stored)?;
+    hollow.list(&full)?;
     for task in 0..tasks {
         let id = hollow.next_request();
         let message = set_up(&Request { id, service: 7, cores: 0.1, at: Some(task % machines) });
@@ -64,7 +64,7 @@
     let cost = hollow.take_cost();
     let standing: usize = hollow.machines().map(|machine| hollow.planner.standing_at(machine)).sum();
     if standing != tasks {
-        return Err(io::Error::other(format!("{standing} of {tasks} tasks stand")));
+        return Err(io::Error::other(format!("planner holds {standing} of {tasks} standing tasks")));
     }
     Ok(vec![
         Sample::count("bytes taken in", "bytes", bytes as f64),
--- a/lab/src/capacity/tasks.rs
+++ b/lab/src/capacity/tasks.rs
@@ -1,4 +1,5 @@
-//! One planner against the tasks that stand at its machines: at rest, and when it is handed them after a start.
+//! Costs of one planner as standing tasks on its machines grow: at rest, and while clients hand them over
+//! after its start.
 
 use super::bench::{Bench, Scene, Window};
 use super::figures::Figures;
@@ -16,30 +17,32 @@
 const SHORT_SIZES: &[usize] = &[0, 500, 1_000, 2_000, 4_000];
 const MACHINES: usize = 400;
 
+/// Measurements of one run.
 struct Run {
+    /// From the first set-up until the planner had accepted all tasks.
     taken_in: Duration,
     /// While the tasks were handed over.
-    handed: Window,
+    handover: Window,
     rest: Window,
 }
 
 fn measure_one(options: &Options, tasks: usize) -> io::Result<Run> {
     let bench = Bench::start(options, Scene::of(MACHINES))?;
     bench.reach()?;
-    let (standing, handed) = bench.during(|| standing::hand_over(bench.planner.owners, tasks, MACHINES))?;
+    let (standing, handover) = bench.during(|| standing::hand_over(bench.planner.owners, tasks, MACHINES))?;
     let rest = bench.rest()?;
-    Ok(Run { taken_in: standing.taken_in, handed, rest })
+    Ok(Run { taken_in: standing.taken_in, handover, rest })
 }
 
 /// Measures the two slopes.
 ///
 /// # Errors
-/// If a process cannot be started or is gone.
+/// If a process cannot be started or has ended.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let (mut at_rest, mut restart) = (Figures::default(), Figures::default());
     for (tasks, runs) in options.runs(SIZES, SHORT_SIZES) {
         for number in 1..=runs {
-            let Run { taken_in, handed, rest } = measure_one(options, tasks)?;
+            let Run { taken_in, handover, rest } = measure_one(options, tasks)?;
             let size = tasks as f64;
             at_rest.measured("processor time at rest", "share of a core", size, rest.share());
             at_rest.measured("resident memory", "KiB", size, rest.resident_kib as f64);
@@ -49,12 +52,12 @@
             at_rest.measured("tests at rest", "messages/s", size, rest.rate(|counts| counts.checks));
             let ms = |time: Duration| time.as_secs_f64() * 1e3;
             restart.measured("from the first task to all taken in", "ms", size, ms(taken_in));
-            restart.measured("processor time to take them in", "ms", size, ms(handed.processor));
+            restart.measured("processor time to take them in", "ms", size, ms(handover.processor));
             eprintln!(
                 "capacity: {tasks} tasks, run {number} of {runs}: taken in after {:.0} ms ({:.0} ms of processor time); \
                  at rest {:.2}% of a core, {} KiB, {:.0} dials/s",
                 ms(taken_in),
-                ms(handed.processor),
+                ms(handover.processor),
                 rest.share() * 1e2,
                 rest.resident_kib,
                 rest.rate(|counts| counts.accepted),
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! A planner process over hollow machines, held to counts: what is measured of it in the scale tests is what it did.
+//! Checks the measurements of the scale tests against the counts of the hollow machines.
 
 use burlhook_lab::capacity::bench::{Bench, Scene};
 use burlhook_lab::capacity::record::Run;
