--- a/lab/src/capacity/ask_rate.rs
+++ b/lab/src/capacity/ask_rate.rs
@@ -3,7 +3,7 @@
 
 use super::bench::{Bench, Scene};
 use super::figures::Figures;
-use super::machines::add_asks;
+use super::machines::add_load;
 use super::record::Slope;
 use super::slopes::Options;
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
         bench.ask(50.0, Duration::from_secs(1), 0)?;
         for (at, rate) in rates.iter().enumerate() {
             let asks = bench.ask(*rate as f64, SPAN, (at as u64 + 1) << 32)?;
-            add_asks(&mut figures, *rate as f64, &asks, share);
+            add_load(&mut figures, *rate as f64, &asks, share);
             let is_kept_up = asks.kept_up();
             figures.measured("kept up", "share", *rate as f64, f64::from(u8::from(is_kept_up)));
             eprintln!(
--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -23,7 +23,7 @@
 pub const REST_WINDOW: Duration = Duration::from_secs(4);
 /// The longest wait for a planner to connect to all machines.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
-/// The wait ends early once no further machine has been connected for this time.
+/// The wait for connections ends early if no further machine is connected for this time.
 const CONNECT_STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time between two checks whether all machines are connected.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -39,7 +39,7 @@
     pub machines: usize,
     /// The machines' behaviour.
     pub plan: Plan,
-    /// Number of planners that the settings state.
+    /// Number of planners in the fleet according to the platform's settings (`n_instances`).
     pub listed: usize,
     /// File descriptors that the configuration allows.
     pub sockets: u32,
--- a/lab/src/capacity/config_rate.rs
+++ b/lab/src/capacity/config_rate.rs
@@ -24,7 +24,7 @@
 const SHORT_FACTOR: u64 = 10;
 
 /// Measurements at one rate.
-struct Cost {
+struct ChangeCosts {
     changes: u64,
     /// Time from the last write of a file until it is in force.
     in_force_ms: f64,
@@ -37,7 +37,7 @@
     Duration::from_secs_f64(1e3 / per_ks as f64)
 }
 
-fn measure_one(bench: &Bench, per_ks: u64, span: Duration, version: &mut usize) -> io::Result<Cost> {
+fn measure_one(bench: &Bench, per_ks: u64, span: Duration, version: &mut usize) -> io::Result<ChangeCosts> {
     let generation = in_force(bench)?.generation;
     let interval = interval(per_ks);
     let mut last = SystemTime::now();
@@ -63,7 +63,7 @@
         return Err(io::Error::other(format!("{applied} of {changes} operators' files came into force")));
     }
     let last_ms = last.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1e3;
-    Ok(Cost { changes, in_force_ms: now.since_ms - last_ms, share: window.share() })
+    Ok(ChangeCosts { changes, in_force_ms: now.since_ms - last_ms, share: window.share() })
 }
 
 /// Measures the slope.
--- a/lab/src/capacity/gang_machines.rs
+++ b/lab/src/capacity/gang_machines.rs
@@ -36,8 +36,8 @@
     let now = 1_000.0;
     let placer = placer(machines, now, |_| {})?;
     let needs = vec![Need { room: ROOM, kind: None }; MEMBERS];
-    let (fits, fit) = cost_of(|| admit(&needs, &placer.spaces(now), &[], SHARE));
-    fits.map_err(|shortage| io::Error::other(format!("gang does not fit: {shortage:?}")))?;
+    let (admission, fit_cost) = cost_of(|| admit(&needs, &placer.spaces(now), &[], SHARE));
+    admission.map_err(|shortage| io::Error::other(format!("gang does not fit: {shortage:?}")))?;
 
     let mut hollow = HollowPlanner::with_machines(machines)?;
     hollow.configure(&operators::groups(MEMBERS))?;
@@ -58,7 +58,7 @@
         Sample::count("allocations a gang", "count", cost.allocations_each(1)),
         Sample::count("bytes allocated a gang", "bytes", cost.bytes_each(1)),
         Sample::time("processor time a gang", "ms", cost.processor.as_secs_f64() * 1e3),
-        Sample::count("bytes allocated for the fit", "bytes", fit.bytes_each(1)),
-        Sample::time("processor time of the fit", "ms", fit.processor.as_secs_f64() * 1e3),
+        Sample::count("bytes allocated for the fit", "bytes", fit_cost.bytes_each(1)),
+        Sample::time("processor time of the fit", "ms", fit_cost.processor.as_secs_f64() * 1e3),
     ])
 }
--- a/lab/src/capacity/machines.rs
+++ b/lab/src/capacity/machines.rs
@@ -22,8 +22,8 @@
 
 const SIZES: &[usize] = &[20, 400, 1_000, 4_000, 10_000, 18_000];
 const SHORT_SIZES: &[usize] = &[20, 100, 200, 400, 800];
-/// Requests per second: the usual rate, and the rate that is measured where the planner does not keep up with
-/// it.
+/// Requests per second: the usual rate, and the lower rate that is also measured if the planner does not keep
+/// up with the usual one.
 const RATES: (f64, f64) = (200.0, 50.0);
 /// Time for which requests are sent at each rate.
 const SPAN: Duration = Duration::from_secs(3);
@@ -40,8 +40,8 @@
 struct Run {
     started: Started,
     rest: Window,
-    /// Under load at the usual rate, and at the lower one if the planner did not keep up.
-    asks: (LoadResult, Option<LoadResult>),
+    /// Results at the usual rate, and at the lower one if the planner did not keep up.
+    load: (LoadResult, Option<LoadResult>),
 }
 
 fn measure_one(options: &Options, machines: usize) -> io::Result<Run> {
@@ -50,11 +50,11 @@
     let rest = bench.rest()?;
     bench.ask(WARM_UP.0, WARM_UP.1, 0)?;
     let asks = bench.ask(RATES.0, SPAN, 1 << 32)?;
-    let fewer = match asks.kept_up() {
+    let lower_rate = match asks.kept_up() {
         true => None,
         false => Some(bench.ask(RATES.1, SPAN, 2 << 32)?),
     };
-    Ok(Run { started, rest, asks: (asks, fewer) })
+    Ok(Run { started, rest, load: (asks, lower_rate) })
 }
 
 fn add_rest(figures: &mut Figures, size: f64, rest: &Window) {
@@ -76,7 +76,7 @@
 }
 
 /// Adds the figures that all slopes of requests share.
-pub(super) fn add_asks(figures: &mut Figures, size: f64, asks: &LoadResult, rest_share: f64) {
+pub(super) fn add_load(figures: &mut Figures, size: f64, asks: &LoadResult, rest_share: f64) {
     figures.measured("processor time an ask, all in all", "ms", size, asks.total_ms());
     figures.measured("processor time an ask, without rest", "ms", size, asks.own_ms(rest_share));
     figures.measured("answer, p50", "ms", size, asks.placed_ms(0.5));
@@ -105,13 +105,13 @@
             let (size, share) = (machines as f64, run.rest.share());
             add_rest(&mut rest, size, &run.rest);
             add_start(&mut start, size, &run.started);
-            let (usual, fewer) = &run.asks;
-            let kept_up = fewer.as_ref().unwrap_or(usual);
-            add_asks(&mut ask, size, kept_up, share);
+            let (usual_rate, lower_rate) = &run.load;
+            let kept_up = lower_rate.as_ref().unwrap_or(usual_rate);
+            add_load(&mut ask, size, kept_up, share);
             ask.measured("asks a second", "asks/s", size, kept_up.rate);
             ask.measured("processor time at rest", "share of a core", size, share);
-            ask.measured("answer at 200 a second, p99", "ms", size, usual.placed_ms(0.99));
-            ask.measured("failed at 200 a second", "count", size, usual.failed() as f64);
+            ask.measured("answer at 200 a second, p99", "ms", size, usual_rate.placed_ms(0.99));
+            ask.measured("failed at 200 a second", "count", size, usual_rate.failed() as f64);
             eprintln!(
                 "capacity: {machines} machines, run {number} of {runs}: ready {:.2} s, {} reached after {:.2} s; at rest \
                  {:.2}% of a core, {} KiB, {:.0} B/s in, {:.0} B/s out; an ask {:.3} ms at {}/s, p99 {:.1} ms; at 200/s \
@@ -126,8 +126,8 @@
                 kept_up.own_ms(share),
                 kept_up.rate,
                 kept_up.placed_ms(0.99),
-                usual.failed(),
-                usual.placed_ms(0.99),
+                usual_rate.failed(),
+                usual_rate.placed_ms(0.99),
             );
         }
     }
--- a/lab/src/capacity/members.rs
+++ b/lab/src/capacity/members.rs
@@ -69,7 +69,7 @@
 
 fn measure(planners: usize, load: Load) -> io::Result<Vec<Sample>> {
     let mut fleet = Fleet::start(planners, VOTERS, IN_FLIGHT_EACH * planners, load)?;
-    let settled_s = fleet.settle(SETTLE_TIMEOUT_S)?;
+    let settled_s = fleet.run_until_settled(SETTLE_TIMEOUT_S)?;
     fleet.take_traffic();
     fleet.run(COUNT_WINDOW_S)?;
     let traffic = fleet.take_traffic();
--- a/lab/src/capacity/members/network.rs
+++ b/lab/src/capacity/members/network.rs
@@ -18,7 +18,7 @@
 const DELAY: Micros = 1_000;
 /// Time between the starts of two planners, so that their timers do not run in step.
 const START_STEP: Micros = 1_731;
-/// All planners start within this time.
+/// All planners start within this time of each other.
 const START_SPAN: Micros = 400_000;
 /// Time between two checks whether the members have settled.
 const CHECK_INTERVAL_S: Seconds = 0.1;
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     /// If that takes longer than `within` seconds.
-    pub fn settle(&mut self, within: Seconds) -> io::Result<Seconds> {
+    pub fn run_until_settled(&mut self, within: Seconds) -> io::Result<Seconds> {
         let checks = (within / CHECK_INTERVAL_S) as usize;
         for check in 1..=checks {
             self.run(CHECK_INTERVAL_S)?;
--- a/lab/src/capacity/planners.rs
+++ b/lab/src/capacity/planners.rs
@@ -29,14 +29,14 @@
     format!("p{planner}")
 }
 
-/// The operators' file of planner `me`, with one in-flight budget that the fleet shares.
-fn operators(net: &Net, planners: usize, me: usize, listen: SocketAddr) -> String {
+/// The operators' file of planner `own`, with one in-flight budget that the fleet shares.
+fn operators(net: &Net, planners: usize, own: usize, listen: SocketAddr) -> String {
     let entry = |at: usize| {
         // A planner does not use its own entry.
-        let address = if at == me { listen } else { net.address(me, at) };
+        let address = if at == own { listen } else { net.address(own, at) };
         json!({"name": name(at), "address": address.to_string()})
     };
-    let fleet = json!({"name": "capacity", "own": name(me), "listen": listen.to_string(),
+    let fleet = json!({"name": "capacity", "own": name(own), "listen": listen.to_string(),
         "planners": (0..planners).map(entry).collect::<Vec<_>>(), "leaseMs": LEASE_MS, "floorShare": 0.5,
         "voters": (0..VOTERS).map(name).collect::<Vec<_>>()});
     let limits = "limits: { default: { totalMs: 1000, attempts: 4 }, \
@@ -57,14 +57,15 @@
     machine_bytes: f64,
 }
 
+/// Starts all planners, with datagrams between them sent through the relay `net`.
 fn start(options: &Options, hollow: &HollowMachines, net: &Net, planners: usize) -> io::Result<Vec<Planner>> {
     let mut all = Vec::new();
-    for me in 0..planners {
+    for own in 0..planners {
         let peers = address()?;
-        let scene = Scene { listed: planners, seed: SEED + me as u64, ..Scene::of(MACHINES) };
-        let file = operators(net, planners, me, peers);
+        let scene = Scene { listed: planners, seed: SEED + own as u64, ..Scene::of(MACHINES) };
+        let file = operators(net, planners, own, peers);
         all.push(Planner::start(&options.program, &scene.configuration(hollow), Some(&file))?);
-        net.target(me, peers);
+        net.target(own, peers);
     }
     Ok(all)
 }
--- a/lab/src/capacity/state.rs
+++ b/lab/src/capacity/state.rs
@@ -1,4 +1,5 @@
-//! Bytes of state that a planner keeps, as machines or standing tasks grow.
+//! Bytes of state that a planner keeps, as machines or standing tasks grow. A standing task is one that a
+//! machine holds.
 
 use super::count::require_counting_allocator;
 use super::hollow_planner::{full_list_line, set_up, HollowPlanner, Request};
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -20,20 +20,20 @@
 #[test]
 fn every_ask_is_counted_at_the_machines() {
     let bench = Bench::start(&options(), Scene::of(MACHINES)).expect("planner and machines");
-    assert_eq!(bench.reach().expect("a start").machines, MACHINES as u64);
-    let asks = bench.ask(50.0, Duration::from_secs(1), 0).expect("asks");
-    assert_eq!((asks.tally.asked, asks.tally.answered(), asks.tally.twice), (50, 50, 0));
+    assert_eq!(bench.reach().expect("connections to machines").machines, MACHINES as u64);
+    let load = bench.ask(50.0, Duration::from_secs(1), 0).expect("a load of requests");
+    assert_eq!((load.tally.asked, load.tally.answered(), load.tally.twice), (50, 50, 0));
     let counts = bench.hollow.counts().expect("counts");
-    assert_eq!(counts.launches - counts.refused, asks.tally.count(End::Placed));
-    assert_eq!(counts.held + counts.ended, asks.tally.count(End::Placed));
+    assert_eq!(counts.launches - counts.refused, load.tally.count(End::Placed));
+    assert_eq!(counts.held + counts.ended, load.tally.count(End::Placed));
     assert!(counts.open >= MACHINES as u64 && counts.list_in > 0);
-    assert!(!asks.window.processor.is_zero() && asks.window.resident_kib > 0);
+    assert!(!load.window.processor.is_zero() && load.window.resident_kib > 0);
 }
 
 #[test]
 fn standing_tasks_are_taken_in_and_none_is_set_up_anew() {
     let bench = Bench::start(&options(), Scene::of(MACHINES)).expect("planner and machines");
-    bench.reach().expect("a start");
-    standing::hand_over(bench.planner.owners, 500, MACHINES).expect("taken in");
+    bench.reach().expect("connections to machines");
+    standing::hand_over(bench.planner.owners, 500, MACHINES).expect("standing tasks are accepted");
     assert_eq!(bench.hollow.counts().expect("counts").launches, 0);
 }
