--- a/lab/src/capacity/config_parse.rs
+++ b/lab/src/capacity/config_parse.rs
@@ -1,7 +1,7 @@
-//! What it costs to read an operators' file and to put it in force, against its routes.
+//! The cost of parsing an operators' file and of applying it, as its routes grow.
 
-use super::count::{cost_of, needs_counts};
-use super::hollow_planner::{failed, operators, HollowPlanner};
+use super::count::{cost_of, require_counting_allocator};
+use super::hollow_planner::{operators, rejected, HollowPlanner};
 use super::ladder::{Ladder, Sample};
 use std::io;
 
@@ -20,14 +20,14 @@
 };
 
 fn run(routes: usize) -> io::Result<Vec<Sample>> {
-    needs_counts()?;
+    require_counting_allocator()?;
     let text = operators::routes(routes);
     let mut hollow = HollowPlanner::new()?;
     let (read, reading) = cost_of(|| hollow.planner.check(&text));
-    read.map_err(failed)?;
+    read.map_err(rejected)?;
     hollow.configure(&text)?;
     hollow.take_cost();
-    // The same once more, as a reload finds it.
+    // The measured run replaces a file that is in force, as a reload does.
     hollow.configure(&text)?;
     let in_force = hollow.take_cost();
     Ok(vec![
