--- a/lab/src/capacity/admission.rs
+++ b/lab/src/capacity/admission.rs
@@ -2,7 +2,7 @@
 
 use super::count::{cost_of, require_counting_allocator, Cost};
 use super::hollow_planner::{operators, settings};
-use super::ladder::{Ladder, Sample};
+use super::in_process_slope::{InProcessSlope, Sample};
 use super::pick_machines::{placer, task};
 use burlhook::decide::limits::{self, Context, Front, Limits, Subject, Table};
 use burlhook::document::{self, Item, Sink, Text};
@@ -22,7 +22,7 @@
 const GAP_S: Seconds = 0.005;
 
 /// Cost of an admission against the number of routes.
-pub const ROUTES: Ladder = Ladder {
+pub const ROUTES: InProcessSlope = InProcessSlope {
     name: "admission-routes",
     question: "What does it cost to admit a request, as routes with a rate and places in flight grow?",
     size: "routes",
@@ -35,7 +35,7 @@
 };
 
 /// Cost of a pick for a tenant with a quota against the number of tenants.
-pub const QUOTAS: Ladder = Ladder {
+pub const QUOTAS: InProcessSlope = InProcessSlope {
     name: "admission-quotas",
     question: "What does it cost to serve a request of a tenant, as tenants with quotas grow?",
     size: "tenants",
@@ -101,8 +101,8 @@
     let ticket = ticket.map_err(|refusal| io::Error::other(format!("request not admitted: {refusal:?}")))?;
     let ticket = ticket
         .ok_or_else(|| io::Error::other("admission returned no ticket, although the route has limits"))?;
-    limits.first_try(now, &ticket);
-    limits.over(now, ticket);
+    limits.count_first_attempt(now, &ticket);
+    limits.return_ticket(now, ticket);
     Ok(())
 }
 
--- a/lab/src/capacity/ask_rate.rs
+++ b/lab/src/capacity/ask_rate.rs
@@ -1,7 +1,7 @@
 //! Costs of one planner as the rate of requests grows, and the highest rate that it keeps up with on one
 //! core.
 
-use super::bench::{Bench, Scene};
+use super::bench::{Bench, BenchSetup};
 use super::figures::Figures;
 use super::machines::add_load;
 use super::record::Slope;
@@ -32,10 +32,10 @@
     let mut figures = Figures::default();
     let rates = if options.short { SHORT_RATES } else { RATES };
     for number in 1..=options.repeats {
-        let mut scene = Scene::of(MACHINES);
+        let mut scene = BenchSetup::of(MACHINES);
         scene.plan.life_ms = LIFE_MS;
         let bench = Bench::start(options, scene)?;
-        bench.reach()?;
+        bench.wait_for_connections()?;
         let share = bench.rest()?.share();
         bench.ask(50.0, Duration::from_secs(1), 0)?;
         for (at, rate) in rates.iter().enumerate() {
@@ -47,7 +47,7 @@
                 "capacity: {rate} asks a second, run {number} of {}: an ask {:.3} ms, p50 {:.1} ms, p99 {:.1} ms, failed {}, \
                  placed {:.3}, {:.2} of a core",
                 options.repeats,
-                asks.own_ms(share),
+                asks.processor_ms_per_request_beyond_rest(share),
                 asks.placed_ms(0.5),
                 asks.placed_ms(0.99),
                 asks.failed(),
--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -34,7 +34,7 @@
 
 /// The set-up of a measurement.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct BenchSetup {
     /// Machines in the list.
     pub machines: usize,
     /// The machines' behaviour.
@@ -51,11 +51,19 @@
     pub seed: u64,
 }
 
-impl Scene {
+impl BenchSetup {
     /// One planner over this many machines, with enough descriptors for all connections.
-    pub fn of(machines: usize) -> Scene {
+    pub fn of(machines: usize) -> BenchSetup {
         let plan = Plan { life_ms: 1_000, ..Plan::default() };
-        Scene { machines, plan, listed: 1, sockets: SOCKETS, memory_mb: MEMORY_MB, operators: None, seed: 1 }
+        BenchSetup {
+            machines,
+            plan,
+            listed: 1,
+            sockets: SOCKETS,
+            memory_mb: MEMORY_MB,
+            operators: None,
+            seed: 1,
+        }
     }
 
     /// The planner's configuration.
@@ -79,7 +87,7 @@
     pub planner: Planner,
     /// Its machines.
     pub hollow: HollowMachines,
-    scene: Scene,
+    scene: BenchSetup,
 }
 
 /// Measurements of a planner's start.
@@ -153,13 +161,13 @@
 
 impl LoadResult {
     /// Milliseconds of processor time per request, including the planner's usage at rest.
-    pub fn total_ms(&self) -> f64 {
+    pub fn processor_ms_per_request(&self) -> f64 {
         self.window.processor.as_secs_f64() * 1e3 / self.tally.asked as f64
     }
 
     /// Milliseconds of processor time per request beyond the usage at rest, which is `rest_share` of a core.
-    pub fn own_ms(&self, rest_share: f64) -> f64 {
-        self.total_ms() - rest_share * self.window.seconds * 1e3 / self.tally.asked as f64
+    pub fn processor_ms_per_request_beyond_rest(&self, rest_share: f64) -> f64 {
+        self.processor_ms_per_request() - rest_share * self.window.seconds * 1e3 / self.tally.asked as f64
     }
 
     /// The quantile `share` of the answer time of placed requests, in milliseconds.
@@ -190,8 +198,8 @@
     ///
     /// # Errors
     /// If one of the processes cannot be started.
-    pub fn start(options: &Options, scene: Scene) -> io::Result<Bench> {
-        let hollow = HollowMachines::start(&options.laboratory, &scene.plan)?;
+    pub fn start(options: &Options, scene: BenchSetup) -> io::Result<Bench> {
+        let hollow = HollowMachines::start(&options.lab_program, &scene.plan)?;
         let config = scene.configuration(&hollow);
         let planner = Planner::start(&options.program, &config, scene.operators.as_deref())?;
         Ok(Bench { planner, hollow, scene })
@@ -201,7 +209,7 @@
     ///
     /// # Errors
     /// If one of the processes has ended.
-    pub fn reach(&self) -> io::Result<Started> {
+    pub fn wait_for_connections(&self) -> io::Result<Started> {
         let (from, mut last, mut reached) = (Instant::now(), Instant::now(), 0);
         let counts = loop {
             let counts = self.hollow.counts()?;
--- a/lab/src/capacity/command.rs
+++ b/lab/src/capacity/command.rs
@@ -111,15 +111,15 @@
                 short,
                 repeats,
                 program: Program::or_own(planner)?,
-                laboratory: std::env::current_exe()?,
+                lab_program: std::env::current_exe()?,
                 run,
             };
             measure(&slopes, &options, &root.join(records), json)
         }
         Action::Compare { before, after, commits, short, listed, sockets, repeats, root, record } => {
             let run = describe_run(&root, short);
-            let (program, laboratory) = (Program::at(&before), std::env::current_exe()?);
-            let options = Options { short, repeats, program, laboratory, run };
+            let (program, lab_program) = (Program::at(&before), std::env::current_exe()?);
+            let options = Options { short, repeats, program, lab_program, run };
             let setting = Setting { listed, sockets };
             let comparison = compare::measure(&options, &[before, after], &commits, setting)?;
             comparison.write(&root.join(record))?;
--- a/lab/src/capacity/compare.rs
+++ b/lab/src/capacity/compare.rs
@@ -1,7 +1,7 @@
 //! Compares two versions of the program, measured alternately in one run: at rest and under load, with hollow
 //! machines that have a tenth of their capacity free.
 
-use super::bench::{Bench, Scene, MEMORY_MB};
+use super::bench::{Bench, BenchSetup, MEMORY_MB};
 use super::hollow_machine::Plan;
 use super::record::{Point, Run};
 use super::slopes::Options;
@@ -119,9 +119,10 @@
     setting: Setting,
 ) -> io::Result<Vec<(&'static str, &'static str, f64)>> {
     let plan = Plan { spare: SPARE_SHARE, life_ms: TASK_DURATION_MS, ..Plan::default() };
-    let scene = Scene { plan, listed: setting.listed, sockets: setting.sockets, ..Scene::of(machines) };
+    let scene =
+        BenchSetup { plan, listed: setting.listed, sockets: setting.sockets, ..BenchSetup::of(machines) };
     let bench = Bench::start(options, scene)?;
-    let started = bench.reach()?;
+    let started = bench.wait_for_connections()?;
     let rest = bench.rest()?;
     let load = bench.ask(REQUESTS_PER_S, LOAD_DURATION, 1 << 32)?;
     let values = vec![
@@ -133,8 +134,12 @@
         ("bytes in at rest", "bytes/s", rest.bytes_in()),
         ("bytes out at rest", "bytes/s", rest.bytes_out()),
         ("open connections", "count", rest.open() as f64),
-        ("processor time an ask, all in all", "ms", load.total_ms()),
-        ("processor time an ask, without rest", "ms", load.own_ms(rest.share())),
+        ("processor time an ask, all in all", "ms", load.processor_ms_per_request()),
+        (
+            "processor time an ask, without rest",
+            "ms",
+            load.processor_ms_per_request_beyond_rest(rest.share()),
+        ),
         ("answer, p50", "ms", load.placed_ms(0.5)),
         ("answer, p99", "ms", load.placed_ms(0.99)),
         ("failed or unanswered", "count", load.failed() as f64),
--- a/lab/src/capacity/config_parse.rs
+++ b/lab/src/capacity/config_parse.rs
@@ -2,11 +2,11 @@
 
 use super::count::{cost_of, require_counting_allocator};
 use super::hollow_planner::{operators, rejected, HollowPlanner};
-use super::ladder::{Ladder, Sample};
+use super::in_process_slope::{InProcessSlope, Sample};
 use std::io;
 
 /// The slope.
-pub const LADDER: Ladder = Ladder {
+pub const SLOPE: InProcessSlope = InProcessSlope {
     name: "config-parse",
     question: "What does it cost to read an operators' file, and to put it in force, as its routes grow?",
     size: "routes",
--- a/lab/src/capacity/config_rate.rs
+++ b/lab/src/capacity/config_rate.rs
@@ -1,6 +1,6 @@
 //! The cost of new operators' files, as their rate grows.
 
-use super::bench::{Bench, Scene};
+use super::bench::{Bench, BenchSetup};
 use super::config_size::{file, in_force};
 use super::figures::Figures;
 use super::record::Slope;
@@ -72,9 +72,9 @@
 /// If a process cannot be started or has ended, or a file does not come into force.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let mut figures = Figures::default();
-    let scene = Scene { operators: Some(file(ROUTES, 0)), ..Scene::of(MACHINES) };
+    let scene = BenchSetup { operators: Some(file(ROUTES, 0)), ..BenchSetup::of(MACHINES) };
     let bench = Bench::start(options, scene)?;
-    bench.reach()?;
+    bench.wait_for_connections()?;
     let rest_share = bench.rest()?.share();
     let (factor, min_span) = if options.short { (SHORT_FACTOR, SHORT_SPAN) } else { (1, SPAN) };
     let mut version = 0;
--- a/lab/src/capacity/config_size.rs
+++ b/lab/src/capacity/config_size.rs
@@ -1,6 +1,6 @@
 //! The time until a new operators' file is in force, and its cost, as the file grows.
 
-use super::bench::{Bench, Scene};
+use super::bench::{Bench, BenchSetup};
 use super::figures::Figures;
 use super::record::Slope;
 use super::slopes::Options;
@@ -91,9 +91,9 @@
 /// If a process cannot be started or has ended, or a file does not come into force.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let mut figures = Figures::default();
-    let scene = Scene { operators: Some(file(1, 0)), ..Scene::of(MACHINES) };
+    let scene = BenchSetup { operators: Some(file(1, 0)), ..BenchSetup::of(MACHINES) };
     let bench = Bench::start(options, scene)?;
-    bench.reach()?;
+    bench.wait_for_connections()?;
     let share = bench.rest()?.share();
     let mut generation = in_force(&bench)?.generation;
     let sizes = if options.short { SHORT_SIZES } else { SIZES };
--- a/lab/src/capacity/gang_machines.rs
+++ b/lab/src/capacity/gang_machines.rs
@@ -3,7 +3,7 @@
 
 use super::count::{cost_of, require_counting_allocator};
 use super::hollow_planner::{operators, HollowPlanner};
-use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
+use super::in_process_slope::{InProcessSlope, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use super::pick_machines::placer;
 use burlhook::decide::groups::fit::{admit, Need};
 use burlhook::Room;
@@ -17,7 +17,7 @@
 const SHARE: f64 = 1.0;
 
 /// The slope.
-pub const LADDER: Ladder = Ladder {
+pub const SLOPE: InProcessSlope = InProcessSlope {
     name: "gang-machines",
     question: "What does a gang of 128 cost a planner, as machines grow?",
     size: "machines",
--- a/lab/src/capacity/hollow_machine/handle.rs
+++ b/lab/src/capacity/hollow_machine/handle.rs
@@ -35,9 +35,9 @@
     ///
     /// # Errors
     /// If the process cannot be started or does not report its ports.
-    pub fn start(laboratory: &Path, plan: &Plan) -> io::Result<HollowMachines> {
+    pub fn start(lab_program: &Path, plan: &Plan) -> io::Result<HollowMachines> {
         let plan = serde_json::to_string(plan).map_err(io::Error::other)?;
-        let mut command = Command::new(laboratory);
+        let mut command = Command::new(lab_program);
         command.args(["capacity", "hollow-machines", &plan]).stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn()?;
         let missing_pipe =
--- a/lab/src/capacity/ladder.rs
+++ b/lab/src/capacity/in_process_slope.rs
@@ -41,7 +41,7 @@
 
 /// The definition of a slope that is measured in this process.
 #[derive(Clone, Copy, Debug)]
-pub struct Ladder {
+pub struct InProcessSlope {
     /// Its name.
     pub name: &'static str,
     /// The question that the slope answers.
@@ -62,7 +62,7 @@
     pub run: fn(usize) -> io::Result<Vec<Sample>>,
 }
 
-impl Ladder {
+impl InProcessSlope {
     /// Performs one run at a size and returns the value of one figure.
     ///
     /// # Errors
--- a/lab/src/capacity/ladder/tests.rs
+++ b/lab/src/capacity/in_process_slope/tests.rs
@@ -16,8 +16,8 @@
     Ok(vec![Sample::count("count", "count", size as f64), Sample::time("time", "ms", size as f64)])
 }
 
-fn ladder(run: fn(usize) -> io::Result<Vec<Sample>>) -> Ladder {
-    Ladder {
+fn in_process_slope(run: fn(usize) -> io::Result<Vec<Sample>>) -> InProcessSlope {
+    InProcessSlope {
         name: "example",
         question: "What grows?",
         size: "sizes",
@@ -32,20 +32,20 @@
 
 fn options() -> Options {
     let run = Run { date: String::new(), commit: String::new(), machine: String::new(), short: true };
-    Options { short: true, repeats: 3, program: Program::at("none"), laboratory: "none".into(), run }
+    Options { short: true, repeats: 3, program: Program::at("none"), lab_program: "none".into(), run }
 }
 
 #[test]
 fn a_count_that_differs_between_runs_is_an_error() {
-    let error = ladder(drifting).measure(&options()).expect_err("the count differs");
+    let error = in_process_slope(drifting).measure(&options()).expect_err("the count differs");
     assert!(error.to_string().contains("count is 2, but was [1.0] in an earlier run"), "{error}");
 }
 
 #[test]
 fn counts_have_one_value_and_times_have_one_per_run() {
-    let slopes = ladder(steady).measure(&options()).expect("all runs succeed");
+    let slopes = in_process_slope(steady).measure(&options()).expect("all runs succeed");
     let of = |name: &str| slopes[0].figure(name).expect("the figure exists").points.clone();
     assert_eq!(of("count").iter().map(|p| p.values.len()).collect::<Vec<_>>(), [1, 1]);
     assert_eq!(of("time").iter().map(|p| p.values.len()).collect::<Vec<_>>(), [3, 3]);
-    assert!(ladder(steady).value(2, "nothing").is_err());
+    assert!(in_process_slope(steady).value(2, "nothing").is_err());
 }
--- a/lab/src/capacity/list_machines.rs
+++ b/lab/src/capacity/list_machines.rs
@@ -2,7 +2,7 @@
 
 use super::count::require_counting_allocator;
 use super::hollow_planner::{change_line, full_list_line, HollowPlanner};
-use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
+use super::in_process_slope::{InProcessSlope, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use std::io;
 
 /// Number of changes of one machine that are measured.
@@ -11,7 +11,7 @@
 const GAP_S: f64 = 1.0;
 
 /// The slope.
-pub const LADDER: Ladder = Ladder {
+pub const SLOPE: InProcessSlope = InProcessSlope {
     name: "list-machines",
     question: "What do a whole machine list and a change of one machine cost a planner, as machines grow?",
     size: "machines",
--- a/lab/src/capacity/machines.rs
+++ b/lab/src/capacity/machines.rs
@@ -1,7 +1,7 @@
 //! Costs of one planner as its machines grow: at rest, for each request, and at its start. The three slopes
 //! come from the same runs.
 
-use super::bench::{Bench, LoadResult, Scene, Started, Window};
+use super::bench::{Bench, BenchSetup, LoadResult, Started, Window};
 use super::figures::Figures;
 use super::record::Slope;
 use super::slopes::Options;
@@ -45,8 +45,8 @@
 }
 
 fn measure_one(options: &Options, machines: usize) -> io::Result<Run> {
-    let bench = Bench::start(options, Scene::of(machines))?;
-    let started = bench.reach()?;
+    let bench = Bench::start(options, BenchSetup::of(machines))?;
+    let started = bench.wait_for_connections()?;
     let rest = bench.rest()?;
     bench.ask(WARM_UP.0, WARM_UP.1, 0)?;
     let asks = bench.ask(RATES.0, SPAN, 1 << 32)?;
@@ -77,8 +77,13 @@
 
 /// Adds the figures that all slopes of requests share.
 pub(super) fn add_load(figures: &mut Figures, size: f64, asks: &LoadResult, rest_share: f64) {
-    figures.measured("processor time an ask, all in all", "ms", size, asks.total_ms());
-    figures.measured("processor time an ask, without rest", "ms", size, asks.own_ms(rest_share));
+    figures.measured("processor time an ask, all in all", "ms", size, asks.processor_ms_per_request());
+    figures.measured(
+        "processor time an ask, without rest",
+        "ms",
+        size,
+        asks.processor_ms_per_request_beyond_rest(rest_share),
+    );
     figures.measured("answer, p50", "ms", size, asks.placed_ms(0.5));
     figures.measured("answer, p99", "ms", size, asks.placed_ms(0.99));
     figures.measured("asks", "count", size, asks.tally.asked as f64);
@@ -123,7 +128,7 @@
                 run.rest.resident_kib,
                 run.rest.bytes_in(),
                 run.rest.bytes_out(),
-                kept_up.own_ms(share),
+                kept_up.processor_ms_per_request_beyond_rest(share),
                 kept_up.rate,
                 kept_up.placed_ms(0.99),
                 usual_rate.failed(),
@@ -143,8 +148,8 @@
     for (machines, runs) in options.runs(TODAY_SIZES, SHORT_SIZES) {
         for number in 1..=runs {
             let (sockets, memory_mb) = TODAY_LIMITS;
-            let bench = Bench::start(options, Scene { sockets, memory_mb, ..Scene::of(machines) })?;
-            let started = bench.reach()?;
+            let bench = Bench::start(options, BenchSetup { sockets, memory_mb, ..BenchSetup::of(machines) })?;
+            let started = bench.wait_for_connections()?;
             let rest = bench.rest()?;
             add_rest(&mut figures, machines as f64, &rest);
             add_start(&mut figures, machines as f64, &started);
@@ -193,7 +198,7 @@
         "What an ask costs a planner and how long its answer takes, against the machines in its list.",
         "How long a planner takes from its start until it listens and until it has reached its machines.",
     ];
-    let scene = Scene::of(0);
+    let scene = BenchSetup::of(0);
     let mut held = BTreeMap::from([
         ("planners".to_string(), 1.0),
         ("configured descriptors".to_string(), f64::from(scene.sockets)),
--- a/lab/src/capacity/members.rs
+++ b/lab/src/capacity/members.rs
@@ -3,7 +3,7 @@
 
 mod network;
 
-use super::ladder::{Ladder, Sample};
+use super::in_process_slope::{InProcessSlope, Sample};
 use network::{Fleet, Load, PeerTraffic};
 use std::io;
 
@@ -28,7 +28,7 @@
 const SHORT: &[usize] = &[3, 8, 16, 32];
 
 /// Traffic without requests.
-pub const REST: Ladder = Ladder {
+pub const REST: InProcessSlope = InProcessSlope {
     name: "members",
     question: "What does a planner at rest say and hear for membership and budgets, as planners grow?",
     size: "planners",
@@ -41,7 +41,7 @@
 };
 
 /// Traffic while all planners want more of a shared budget than there is.
-pub const BUSY: Ladder = Ladder {
+pub const BUSY: InProcessSlope = InProcessSlope {
     name: "members-busy",
     question: "What does a planner say and hear while all want more of a shared budget than there is?",
     size: "planners",
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -21,7 +21,7 @@
 pub mod gang_machines;
 pub mod hollow_machine;
 pub mod hollow_planner;
-pub mod ladder;
+pub mod in_process_slope;
 pub mod list_machines;
 pub mod machines;
 pub mod members;
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -57,7 +57,7 @@
     },
     /// The stored fit differs from a fit of the stored points.
     #[error("record {slope}: the fit of {figure:?} is stale; run `burlhook-lab capacity fit`")]
-    OtherFit {
+    StaleFit {
         /// The record.
         slope: String,
         /// The figure.
@@ -211,7 +211,7 @@
             _ => false,
         };
         if !same {
-            return Err(PageError::OtherFit { slope: slope.name.clone(), figure: figure.name.clone() });
+            return Err(PageError::StaleFit { slope: slope.name.clone(), figure: figure.name.clone() });
         }
     }
     Ok(())
--- a/lab/src/capacity/page/tests.rs
+++ b/lab/src/capacity/page/tests.rs
@@ -172,7 +172,7 @@
     let mut records = planner_records();
     records.slopes.get_mut("rest-machines").unwrap().figures[0].points[2].values = vec![0.041];
     let refused = render(&records).unwrap_err();
-    assert!(matches!(refused, PageError::OtherFit { .. }), "{refused}");
+    assert!(matches!(refused, PageError::StaleFit { .. }), "{refused}");
 }
 
 #[test]
--- a/lab/src/capacity/pick_machines.rs
+++ b/lab/src/capacity/pick_machines.rs
@@ -3,7 +3,7 @@
 
 use super::count::{cost_of, require_counting_allocator, Cost};
 use super::hollow_planner::{set_up, settings, HollowPlanner, Request};
-use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
+use super::in_process_slope::{InProcessSlope, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use burlhook::{
     vocabulary, Action, CellId, Entry, Event, ListKind, MachineId, MachineKey, Placer, RequestId, Room,
     Seconds, ServiceId, Settings, Standing, Task, TaskLimits, ZoneId,
@@ -20,7 +20,7 @@
 const ROOM: f64 = 0.5;
 
 /// The slope.
-pub const LADDER: Ladder = Ladder {
+pub const SLOPE: InProcessSlope = InProcessSlope {
     name: "pick-machines",
     question: "What does it cost a planner to pick a machine, and to serve a whole ask, as machines grow?",
     size: "machines",
@@ -35,7 +35,7 @@
 
 fn run(machines: usize) -> io::Result<Vec<Sample>> {
     require_counting_allocator()?;
-    let (looked_at, pick) = picks(machines)?;
+    let (machines_examined, pick) = picks(machines)?;
     let ask = asks(machines)?;
     Ok(vec![
         Sample::count("machines looked at a pick", "count", machines_examined as f64 / MEASURED as f64),
@@ -87,15 +87,15 @@
 fn picks(machines: usize) -> io::Result<(u64, Cost)> {
     let mut now = 1_000.0;
     let mut placer = placer(machines, now, |_| {})?;
-    let (mut cost, mut looked_at, mut actions) = (Cost::default(), 0, Vec::with_capacity(16));
+    let (mut cost, mut machines_examined, mut actions) = (Cost::default(), 0, Vec::with_capacity(16));
     for number in 0..WARM_UP + MEASURED {
         now += GAP_S;
         let (request, task) = (RequestId(number as u64 + 1), task(now));
-        let before = placer.looked_at;
+        let before = placer.machines_examined;
         let (_, pick_cost) = cost_of(|| placer.handle(now, Event::Submitted { request, task }, &mut actions));
         if number >= WARM_UP {
             cost.add(pick_cost);
-            looked_at += placer.looked_at - before;
+            machines_examined += placer.machines_examined - before;
         }
         let bound = actions.drain(..).any(|action| matches!(action, Action::Bind { .. }));
         if !bound {
--- a/lab/src/capacity/planners.rs
+++ b/lab/src/capacity/planners.rs
@@ -1,7 +1,7 @@
 //! Traffic between planners that share budgets, and their costs at rest, as the number of planners grows.
 //! Each planner is a process.
 
-use super::bench::{Scene, MEMORY_MB, REST_WINDOW, SETTLE_TIME, SOCKETS};
+use super::bench::{BenchSetup, MEMORY_MB, REST_WINDOW, SETTLE_TIME, SOCKETS};
 use super::figures::Figures;
 use super::hollow_machine::HollowMachines;
 use super::record::Slope;
@@ -62,7 +62,7 @@
     let mut all = Vec::new();
     for own in 0..planners {
         let peers = address()?;
-        let scene = Scene { listed: planners, seed: SEED + own as u64, ..Scene::of(MACHINES) };
+        let scene = BenchSetup { listed: planners, seed: SEED + own as u64, ..BenchSetup::of(MACHINES) };
         let file = operators(net, planners, own, peers);
         all.push(Planner::start(&options.program, &scene.configuration(hollow), Some(&file))?);
         net.target(own, peers);
@@ -71,7 +71,7 @@
 }
 
 fn measure_one(options: &Options, planners: usize) -> io::Result<RestUsage> {
-    let hollow = HollowMachines::start(&options.laboratory, &Scene::of(MACHINES).plan)?;
+    let hollow = HollowMachines::start(&options.lab_program, &BenchSetup::of(MACHINES).plan)?;
     let net = Net::start(planners, SEED)?;
     let running = start(options, &hollow, &net, planners)?;
     std::thread::sleep(SETTLE_TIME);
--- a/lab/src/capacity/rest_hollow.rs
+++ b/lab/src/capacity/rest_hollow.rs
@@ -1,14 +1,14 @@
 //! How often the reducer is woken at rest, and what it sends to machines, as machines grow.
 
 use super::hollow_planner::HollowPlanner;
-use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
+use super::in_process_slope::{InProcessSlope, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT};
 use std::io;
 
 /// Length of the measurement at rest, in seconds.
 const REST_S: f64 = 60.0;
 
 /// The slope.
-pub const LADDER: Ladder = Ladder {
+pub const SLOPE: InProcessSlope = InProcessSlope {
     name: "rest-hollow",
     question: "How often is a planner's reducer woken while no ask comes and the list is still, and what does it write, \
                as machines grow?",
--- a/lab/src/capacity/restart_hollow.rs
+++ b/lab/src/capacity/restart_hollow.rs
@@ -2,7 +2,9 @@
 
 use super::count::require_counting_allocator;
 use super::hollow_planner::{full_list_line, set_up, HollowPlanner, Request};
-use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT, TASK_SIZES, TASK_SIZES_SHORT};
+use super::in_process_slope::{
+    InProcessSlope, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT, TASK_SIZES, TASK_SIZES_SHORT,
+};
 use std::io;
 
 /// Number of machines while standing tasks grow.
@@ -14,7 +16,7 @@
                       clients' tasks are handed in one after the other";
 
 /// Cost against the number of machines.
-pub const BY_MACHINES: Ladder = Ladder {
+pub const BY_MACHINES: InProcessSlope = InProcessSlope {
     name: "restart-hollow",
     question: "What does a planner take in at a restart, as machines grow?",
     size: "machines",
@@ -27,7 +29,7 @@
 };
 
 /// Cost against the number of standing tasks.
-pub const BY_TASKS: Ladder = Ladder {
+pub const BY_TASKS: InProcessSlope = InProcessSlope {
     name: "restart-hollow-tasks",
     question: "What does a planner take in at a restart, as standing tasks grow?",
     size: "standing tasks",
--- a/lab/src/capacity/slopes.rs
+++ b/lab/src/capacity/slopes.rs
@@ -20,7 +20,7 @@
     /// The planner program, for slopes that start planner processes.
     pub program: Program,
     /// The path of this program (`burlhook-lab`), which is started for hollow machines.
-    pub laboratory: PathBuf,
+    pub lab_program: PathBuf,
     /// The description of this run that goes into the records.
     pub run: Run,
 }
@@ -56,12 +56,12 @@
     Entry { names: ask_rate::NAMES, measure: ask_rate::measure },
     Entry { names: config_size::NAMES, measure: config_size::measure },
     Entry { names: config_rate::NAMES, measure: config_rate::measure },
-    Entry { names: &[pick_machines::LADDER.name], measure: |options| pick_machines::LADDER.measure(options) },
+    Entry { names: &[pick_machines::SLOPE.name], measure: |options| pick_machines::SLOPE.measure(options) },
     Entry { names: &[admission::ROUTES.name], measure: |options| admission::ROUTES.measure(options) },
     Entry { names: &[admission::QUOTAS.name], measure: |options| admission::QUOTAS.measure(options) },
-    Entry { names: &[gang_machines::LADDER.name], measure: |options| gang_machines::LADDER.measure(options) },
-    Entry { names: &[config_parse::LADDER.name], measure: |options| config_parse::LADDER.measure(options) },
-    Entry { names: &[list_machines::LADDER.name], measure: |options| list_machines::LADDER.measure(options) },
+    Entry { names: &[gang_machines::SLOPE.name], measure: |options| gang_machines::SLOPE.measure(options) },
+    Entry { names: &[config_parse::SLOPE.name], measure: |options| config_parse::SLOPE.measure(options) },
+    Entry { names: &[list_machines::SLOPE.name], measure: |options| list_machines::SLOPE.measure(options) },
     Entry {
         names: &[restart_hollow::BY_MACHINES.name],
         measure: |options| restart_hollow::BY_MACHINES.measure(options),
@@ -74,7 +74,7 @@
     Entry { names: &[state::TASK.name], measure: |options| state::TASK.measure(options) },
     Entry { names: &[members::REST.name], measure: |options| members::REST.measure(options) },
     Entry { names: &[members::BUSY.name], measure: |options| members::BUSY.measure(options) },
-    Entry { names: &[rest_hollow::LADDER.name], measure: |options| rest_hollow::LADDER.measure(options) },
+    Entry { names: &[rest_hollow::SLOPE.name], measure: |options| rest_hollow::SLOPE.measure(options) },
 ];
 
 /// Selects the entries that measure the named slopes, each once; all entries if no name is given.
--- a/lab/src/capacity/slopes/tests.rs
+++ b/lab/src/capacity/slopes/tests.rs
@@ -5,8 +5,8 @@
 
 fn options(short: bool) -> Options {
     let run = Run { date: String::new(), commit: String::new(), machine: String::new(), short };
-    let (program, laboratory) = (Program::at("planner"), "laboratory".into());
-    Options { short, repeats: 3, program, laboratory, run }
+    let (program, lab_program) = (Program::at("planner"), "laboratory".into());
+    Options { short, repeats: 3, program, lab_program, run }
 }
 
 #[test]
--- a/lab/src/capacity/state.rs
+++ b/lab/src/capacity/state.rs
@@ -3,7 +3,9 @@
 
 use super::count::require_counting_allocator;
 use super::hollow_planner::{full_list_line, set_up, HollowPlanner, Request};
-use super::ladder::{Ladder, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT, TASK_SIZES, TASK_SIZES_SHORT};
+use super::in_process_slope::{
+    InProcessSlope, Sample, MACHINE_SIZES, MACHINE_SIZES_SHORT, TASK_SIZES, TASK_SIZES_SHORT,
+};
 use std::io;
 
 /// Number of machines while standing tasks grow.
@@ -21,7 +23,7 @@
 const HOLLOW: &str = "no process, no sockets: queues, tasks and buffers of connections are not in it";
 
 /// State against the number of machines.
-pub const MACHINE: Ladder = Ladder {
+pub const MACHINE: InProcessSlope = InProcessSlope {
     name: "state-machines",
     question: "How many bytes of state does a planner keep, as machines grow?",
     size: "machines",
@@ -34,7 +36,7 @@
 };
 
 /// State against the number of standing tasks.
-pub const TASK: Ladder = Ladder {
+pub const TASK: InProcessSlope = InProcessSlope {
     name: "state-tasks",
     question: "How many bytes of state does a planner keep, as standing tasks grow?",
     size: "standing tasks",
--- a/lab/src/capacity/tasks.rs
+++ b/lab/src/capacity/tasks.rs
@@ -1,7 +1,7 @@
 //! Costs of one planner as standing tasks on its machines grow: at rest, and while clients hand them over
 //! after its start.
 
-use super::bench::{Bench, Scene, Window};
+use super::bench::{Bench, BenchSetup, Window};
 use super::figures::Figures;
 use super::record::Slope;
 use super::slopes::Options;
@@ -27,8 +27,8 @@
 }
 
 fn measure_one(options: &Options, tasks: usize) -> io::Result<Run> {
-    let bench = Bench::start(options, Scene::of(MACHINES))?;
-    bench.reach()?;
+    let bench = Bench::start(options, BenchSetup::of(MACHINES))?;
+    bench.wait_for_connections()?;
     let (standing, handover) = bench.during(|| standing::hand_over(bench.planner.owners, tasks, MACHINES))?;
     let rest = bench.rest()?;
     Ok(Run { taken_in: standing.taken_in, handover, rest })
@@ -68,7 +68,7 @@
         "What a planner spends while no ask comes, against the tasks that stand.",
         "How long a planner takes to be handed the tasks that stand, as clients do after its start.",
     ];
-    let scene = Scene::of(MACHINES);
+    let scene = BenchSetup::of(MACHINES);
     let held = BTreeMap::from([
         ("planners".to_string(), 1.0),
         ("machines".to_string(), MACHINES as f64),
--- a/lab/tests/capacity_allocations.rs
+++ b/lab/tests/capacity_allocations.rs
@@ -49,7 +49,7 @@
     let tasks = Growth::of(&state::TASK, "bytes of state a standing task", TASKS);
     violations.extend([tasks.constant(), tasks.within(|_| BYTES_PER_TASK)]);
 
-    let pick = |figure| Growth::of(&pick_machines::LADDER, figure, MACHINES);
+    let pick = |figure| Growth::of(&pick_machines::SLOPE, figure, MACHINES);
     violations.push(pick("allocations a pick").within(|_| ALLOCATIONS_PER_PICK));
     let pick_bytes = pick("bytes allocated a pick");
     violations.push(pick_bytes.within(|machines| PICK_BYTES + machines * PICK_BYTES_PER_MACHINE));
@@ -58,12 +58,12 @@
     let admission = Growth::of(&admission::ROUTES, "allocations an admission", ROUTES);
     violations.push(admission.within(|_| ALLOCATIONS_PER_ADMISSION));
 
-    let change = |figure| Growth::of(&list_machines::LADDER, figure, MACHINES);
+    let change = |figure| Growth::of(&list_machines::SLOPE, figure, MACHINES);
     let (allocations, bytes) = (change("allocations of a change"), change("bytes allocated by a change"));
     violations.extend([allocations.constant(), allocations.within(|_| ALLOCATIONS_PER_CHANGE)]);
     violations.extend([bytes.constant(), bytes.within(|_| BYTES_PER_CHANGE)]);
 
-    let file = Growth::of(&config_parse::LADDER, "allocations of reading", ROUTES);
+    let file = Growth::of(&config_parse::SLOPE, "allocations of reading", ROUTES);
     violations.extend([file.linear(), file.within(|routes| routes * ALLOCATIONS_PER_ROUTE)]);
     assert_no_violations(violations);
 }
--- a/lab/tests/capacity_counts.rs
+++ b/lab/tests/capacity_counts.rs
@@ -36,14 +36,14 @@
 /// Guards against a pick that examines a machine twice.
 #[test]
 fn a_pick_looks_at_each_machine_once_at_the_most() {
-    let examined = Growth::of(&pick_machines::LADDER, "machines looked at a pick", MACHINES);
+    let examined = Growth::of(&pick_machines::SLOPE, "machines looked at a pick", MACHINES);
     assert_no_violations([examined.linear(), examined.within(|machines| machines * EXAMINED_PER_MACHINE)]);
 }
 
 /// Guards against more work for a gang than a pick for each member and a few repeated ones.
 #[test]
 fn a_gang_looks_at_each_machine_once_a_member() {
-    let examined = Growth::of(&gang_machines::LADDER, "machines looked at a gang", MACHINES);
+    let examined = Growth::of(&gang_machines::SLOPE, "machines looked at a gang", MACHINES);
     assert_no_violations([examined.within(|machines| machines * MEMBERS * EXAMINED_PER_MACHINE_AND_MEMBER)]);
 }
 
@@ -79,7 +79,7 @@
 /// number of machines.
 #[test]
 fn the_reducer_sleeps_at_rest() {
-    let growth = |figure| Growth::of(&rest_hollow::LADDER, figure, MACHINES);
+    let growth = |figure| Growth::of(&rest_hollow::SLOPE, figure, MACHINES);
     let (alarms, messages) = (growth("alarms a second"), growth("messages to machines a second"));
     assert_no_violations([alarms.within(|_| 0.0), messages.within(|_| 0.0)]);
 }
--- a/lab/tests/shapes/mod.rs
+++ b/lab/tests/shapes/mod.rs
@@ -1,6 +1,6 @@
 //! Checks that counts at small sizes grow as the records under `docs/capacity` state.
 
-use burlhook_lab::capacity::ladder::Ladder;
+use burlhook_lab::capacity::in_process_slope::InProcessSlope;
 
 /// Values of a figure at ascending sizes.
 pub struct Growth {
@@ -13,10 +13,14 @@
 
 impl Growth {
     /// Runs a ladder at these sizes and collects one figure.
-    pub fn of(ladder: &Ladder, figure: &str, sizes: &[usize]) -> Growth {
-        let value =
-            |&size: &usize| (size as f64, ladder.value(size, figure).expect("the run gives the figure"));
-        Growth { figure: format!("{}: {figure}", ladder.name), values: sizes.iter().map(value).collect() }
+    pub fn of(in_process_slope: &InProcessSlope, figure: &str, sizes: &[usize]) -> Growth {
+        let value = |&size: &usize| {
+            (size as f64, in_process_slope.value(size, figure).expect("the run gives the figure"))
+        };
+        Growth {
+            figure: format!("{}: {figure}", in_process_slope.name),
+            values: sizes.iter().map(value).collect(),
+        }
     }
 
     /// Describes the violation if a value exceeds that of the first size; values may fall.
