--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -1,4 +1,5 @@
-//! The cost of finding a job's limits with 1, 100 and 10,000 routes, and of taking a job in and out of its gauges.
+//! The cost of resolving a job's limits with 1, 100 and 10,000 routes, and of counting a job in and out of
+//! the gauges.
 //!
 //! `cargo bench --bench limits`
 
@@ -28,7 +29,7 @@
     }
 }
 
-/// A usual file: two in three routes name a service, the others a prefix; one in a hundred is a glob.
+/// A typical file: two in three routes name a service, the others a prefix; one in a hundred is a glob.
 fn model(routes: usize) -> Model {
     let route = |at: usize| {
         let service = match at {
--- a/examples/toy_node.rs
+++ b/examples/toy_node.rs
@@ -1,4 +1,5 @@
-//! A toy machine to try a planner with: the laboratory's stand-in node, which takes every task and runs it for some seconds.
+//! A toy machine for trying out a planner: the stand-in node of `burlhook_lab`, which accepts every task and
+//! runs it for 5 s.
 //!
 //! `cargo run --example toy_node -- 127.0.0.1:7001`
 
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter over lines of text.
+//! The adapter program, which exchanges lines of JSON on its standard streams.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -21,7 +21,8 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end before it has read everything; what it says is what counts.
+    // The adapter may exit before it has read everything, so a failed write is no error; the tests check its
+    // output.
     let _ = child.stdin.take().expect("its input").write_all(input.as_bytes());
     child.wait_with_output().expect("it ends")
 }
@@ -72,7 +73,7 @@
         let output = run(&input);
         let message = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success(), "{wanted}");
-        assert!(message.contains(wanted), "{message:?} should tell {wanted:?}");
+        assert!(message.contains(wanted), "{message:?} should contain {wanted:?}");
         assert_eq!(message.lines().count(), 1);
     }
 }
--- a/tests/auditor.rs
+++ b/tests/auditor.rs
@@ -1,4 +1,4 @@
-//! The limits that an auditor relies on.
+//! Size limits that keep the placer readable for an audit.
 
 use std::fs;
 
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets of the whole fleet with real planner processes, behind the fault network. The machines' ledgers and the clients'
-//! logs decide, and nothing that a planner says of itself.
+//! Fleet-wide budgets with real planner processes behind a network simulator that injects faults. The checks
+//! rest on the machines' ledgers and the clients' logs alone, not on what planners report about themselves.
 
 use burlhook_lab::load::End;
 use burlhook_lab::net::{Schedule, What};
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-fn play(options: Options) -> Report {
+fn run_rig(options: Options) -> Report {
     run(&Program::at(env!("CARGO_BIN_EXE_burlhook")), &options).expect("the rig runs")
 }
 
@@ -25,9 +25,10 @@
     }
 }
 
-/// Guards the budgets against all that befalls planners at once: parts, also one way only, lost, late and doubled words, a
-/// planner killed and back within half a second, twice, one stopped for 3 s, one told to stop, voters among them, machines
-/// that stall and reset. Whoever is turned away is told when to come back.
+/// Guards the budgets against all faults together: network partitions, also in one direction only; lost, late
+/// and duplicated datagrams; a planner killed and restarted within half a second, twice; one paused for 3 s;
+/// one that receives SIGTERM; some of these are voters; machines that stall and reset connections. Each
+/// rejected client is given a time for its retry.
 #[test]
 fn no_fault_lets_the_fleet_exceed_its_budgets() {
     let kill = |planner, again_ms| What::Kill { planner, again_ms: Some(again_ms) };
@@ -50,28 +51,28 @@
         .at(10_500, What::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 2) })
         .at(11_000, What::Even)
         .at(11_500, What::Term { planner: 3, again_ms: Some(300) });
-    let report = play(Options { span: Duration::from_secs(16), schedule, seed: 3, ..quick() });
+    let report = run_rig(Options { span: Duration::from_secs(16), schedule, seed: 3, ..quick() });
     assert_eq!(report.broken, Vec::<String>::new(), "{report:?}");
-    assert_eq!(report.starts, 8, "three came back");
+    assert_eq!(report.starts, 8, "three planners restarted");
     let placed = report.ends.get(&End::Placed).copied().unwrap_or_default();
     assert!(
         placed > 800 && report.most_in_flight >= 12,
-        "the budgets were used: {placed}, {}",
+        "the budgets were not used: {placed} placed, at most {} in flight",
         report.most_in_flight
     );
-    let turned = report.ends.get(&End::TurnedAway).copied().unwrap_or_default();
+    let rejected = report.ends.get(&End::TurnedAway).copied().unwrap_or_default();
     assert!(
-        turned > 500 && report.told_when == turned,
-        "{turned} turned away, {} told when",
+        rejected > 500 && report.told_when == rejected,
+        "{rejected} rejected, {} of them with a retry time",
         report.told_when
     );
 }
 
-/// Guards a whole that is lowered and raised under load: the lower one holds once all that the old files gave has lapsed, and
-/// all planners at once killed and back change nothing about it. The whole is used before it is lowered, and again once it was
-/// raised, however long a busy machine takes to get there.
+/// Guards a fleet-wide budget that is lowered and raised under load. The lower one holds once the leases
+/// granted under the old files have expired, even if all planners are killed and restarted. The budget is
+/// used before it is lowered and again after it is raised, however long that takes on a busy host.
 #[test]
-fn a_lowered_whole_holds_under_load() {
+fn a_lowered_budget_holds_under_load() {
     let used = |over_ms| What::Used { share: 0.5, over_ms };
     let mut schedule = Schedule::default()
         .at(3_500, used(1_000))
@@ -81,27 +82,29 @@
     for planner in 0..5 {
         schedule = schedule.at(7_000, What::Kill { planner, again_ms: Some(200 + 50 * planner as u64) });
     }
-    let report = play(Options { span: Duration::from_secs(13), schedule, seed: 5, ..quick() });
+    let report = run_rig(Options { span: Duration::from_secs(13), schedule, seed: 5, ..quick() });
     assert_eq!(report.broken, Vec::<String>::new());
     assert_eq!(report.unused, Vec::<String>::new());
-    assert_eq!(report.starts, 10, "all came back");
-    // Tenths of a second after what was waited for, in which the lower whole holds and all planners are there.
+    assert_eq!(report.starts, 10, "all planners restarted");
+    // Samples of a tenth of a second each, shifted by the time waited, during which the lower budget holds
+    // and all planners run.
     let waited = report.waited[0].as_millis() as usize / 100 + 1;
     let of_four = &report.flight[62 + waited..69 + waited - 1];
     let mean = of_four.iter().map(|(all, _)| all).sum::<f64>() / of_four.len() as f64;
-    assert!(mean <= 4.0, "{mean} of four");
+    assert!(mean <= 4.0, "a mean of {mean} in flight with a budget of four");
 }
 
-/// Guards two fleets whose lists overlap by mistake: neither hears the other, and each counts what it dropped.
+/// Guards two fleets whose lists of planners overlap by mistake: each drops the other's datagrams and counts
+/// them.
 #[test]
-fn a_word_of_another_fleet_counts_for_nothing() {
-    let places: Vec<String> = (0..2).map(|_| address().expect("a port").to_string()).collect();
+fn datagrams_of_another_fleet_are_ignored() {
+    let addresses: Vec<String> = (0..2).map(|_| address().expect("a port").to_string()).collect();
     let file = |fleet: &str, own: usize| {
         format!(
             "{{ rest: {{ listen: \"127.0.0.1:0\" }}, fleet: {{ name: \"{fleet}\", own: \"p{own}\", listen: \"{}\", \
              voters: [\"p1\"], planners: [{{ name: \"p0\", address: \"{}\" }}, {{ name: \"p1\", address: \"{}\" }}] }}, \
              limits: {{ default: {{ inFlight: 4, totalMs: 1000, scope: \"fleet\" }} }} }}",
-            places[own], places[0], places[1]
+            addresses[own], addresses[0], addresses[1]
         )
     };
     let program = Program::at(env!("CARGO_BIN_EXE_burlhook"));
@@ -127,8 +130,9 @@
     let _right = start("one", 1);
     let seen = wait(&own, &|seen| seen["slots"].as_array().is_some_and(|slots| !slots.is_empty()));
     assert_eq!(seen["slots"][0]["slot"], json!(0), "{seen}");
-    assert_eq!(seen["budgets"][0]["usable"], json!(2), "its floor and its slot's part: {seen}");
-    // The section changes with a restart alone: a file with another fleet is refused, and what is in force stays.
+    assert_eq!(seen["budgets"][0]["usable"], json!(2), "its floor and the share of its slot: {seen}");
+    // The section `fleet` changes only with a restart: a file with another fleet is refused, and the old one
+    // stays in force.
     own.reload(&file("three", 0)).expect("a signal");
     let refused = || own.get("/v1/limits").expect("an answer")["lastRefusal"]["faults"][0].clone();
     let until = Instant::now() + Duration::from_secs(5);
@@ -139,20 +143,21 @@
     assert!(!limits(&own)["slots"].as_array().expect("slots").is_empty(), "its slot stays");
 }
 
-/// Guards what a fleet is for, and the judge: a need at one planner alone is served by what the others spare, several times
-/// its equal part; and where each planner counts the whole for itself the judge sees both budgets broken.
+/// Guards the purpose of fleet-wide budgets, and the test's checker. Load at a single planner is served from
+/// the shares that the others do not need, several times its equal share. Where each planner applies the
+/// whole budget for itself, the checker reports both budgets as exceeded.
 #[test]
-fn need_decides_and_the_judge_sees() {
+fn shares_follow_need_and_the_checker_sees_violations() {
     let used = |share, over_ms| What::Used { share, over_ms };
-    // An equal part would be a fifth.
+    // An equal share would be a fifth.
     let lean = Schedule::default().at(0, What::Lean { planner: 4, share: 1.0 }).at(9_000, used(0.5, 5_500));
     let options = Options { span: Duration::from_millis(9_100), schedule: lean, rate: 300.0, ..quick() };
-    let report = play(options.clone());
+    let report = run_rig(options.clone());
     assert_eq!(report.broken, Vec::<String>::new());
     assert_eq!(report.unused, Vec::<String>::new());
-    // Beyond the burst of 50 that so many seconds allow.
+    // More than the burst of 50 allows over this time.
     let schedule = Schedule::default().at(9_000, used(1.5, 3_000));
-    let report = play(Options { way: Way::Each, schedule, rate: 900.0, ..options });
+    let report = run_rig(Options { way: Way::Each, schedule, rate: 900.0, ..options });
     assert_eq!(report.unused, Vec::<String>::new());
     assert!(report.broken.len() >= 2, "{:?}", report.broken);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! A small fleet and short ways to feed a placer.
+//! Settings, machines and tasks for placer tests, and a rig that feeds inputs to one placer.
 #![allow(dead_code)]
 
 use burlhook::*;
 
-/// One class, one kind of ten cores and twenty memory, two attempts of room to spare.
+/// Settings with one task class, one machine kind of 10 cores and 20 units of memory, and at most four
+/// attempts.
 pub fn settings(effect: Effect) -> Settings {
     Settings {
         classes: vec![Class {
@@ -64,13 +65,13 @@
     }
 }
 
-/// A placer under test and what it did last.
+/// A placer under test.
 pub struct Rig {
     pub placer: Placer,
 }
 
 impl Rig {
-    /// A placer that was given these machines at time 1.
+    /// A placer that received these machines at time 1, with a fixed seed.
     pub fn new(settings: Settings, entries: &[Entry]) -> Self {
         Rig::seeded(settings, entries, 7)
     }
--- a/tests/exchange/mod.rs
+++ b/tests/exchange/mod.rs
@@ -1,10 +1,18 @@
-//! The one shared helper: starts the program, plays recorded exchanges against it, and writes down what came.
+//! Shared test support: starts the program, runs scripted exchanges against it, and records what it sends.
 //!
-//! A script is a text file. `#` begins a remark. The first lines set the stage: `boxes N`, `board`, `board2`,
-//! `rest OPTION...`, `start`. Then `PEER > BYTES` sends, `PEER half BYTES` sends a line without its end, `PEER >` only
-//! connects, `PEER <` receives one message, `PEER close` closes, `PEER hush` falls silent, and `term` and `exit`
-//! stop the program; `hup BOARD` has it read a file that names that board, `hup -` one that cannot be read, and `operators TEXT` another operators' file. Peers are `o1`… (owners), `b1`… (boxes), `h1`… (HTTP clients), `board`. Bytes that do not
-//! print stand as `\xNN`. In a transcript, ids that the program drew stand as `J1`…, times as `T`.
+//! A script is a text file. `#` begins a comment. The first lines set the peers up: `boxes N` (machines),
+//! `board` and `board2` (discovery services), `rest OPTION...` (members of `rest` in the operators' file),
+//! and `start`, which starts the program. The other lines are:
+//!
+//! - `PEER > BYTES` sends a message, and `PEER half BYTES` a line without its end;
+//! - `PEER >` only connects, `PEER close` closes, and `PEER hush` keeps the connection open but unused;
+//! - `PEER <` receives one message;
+//! - `hup BOARD` has the program reload a configuration with that discovery address, and `hup -` one that
+//!   cannot be parsed;
+//! - `term` sends SIGTERM, and `exit` waits for the program to exit.
+//!
+//! Peers are `o1`… (owners), `b1`… (machines), `h1`… (HTTP clients), and `board`. Non-printable bytes are
+//! written as `\xNN`. In a transcript, generated ids are replaced by `J1`…, times by `T`.
 #![allow(dead_code)]
 
 pub mod protocol;
@@ -21,8 +29,8 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// Far longer than anything takes: it only ends a test that hangs.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Ends a test that hangs; far longer than any step takes.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn unused_path(name: &str) -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
@@ -30,7 +38,7 @@
     std::env::temp_dir().join(format!("burlhook-test-{}-{number}-{name}", std::process::id()))
 }
 
-/// The settings of all tests: a class of each kind, four attempts.
+/// Default settings for tests: one class of each idempotency, four attempts.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "deadline_s": 1.0, "group": "all", "idempotency": effect, "importance": 1.0,
@@ -46,30 +54,31 @@
         "rules": {"ask_every_s": 10.0, "fall_s": 2.0, "warm_within_s": 16.0}, "tick_s": 0.002, "zone": "hall-a"})
 }
 
-/// An entry of the notice board.
+/// A machine's entry in the discovery service's list.
 pub fn instance(name: &str, address: &str, state: &str) -> Value {
     json!({"instanceId": name, "hostPort": address, "zone": "hall-a", "machineType": "std-48", "cell": 0,
         "lifecycle": state, "weight": 1, "startedAtMs": 0, "free": [30.0, 60.0]})
 }
 
-/// A configuration that knows these machines, with the machine list at that address.
-pub fn knows(instances: &[Value], list: Option<&str>) -> Value {
+/// A configuration with these machines, and with the discovery service at that address.
+pub fn config_with(instances: &[Value], list: Option<&str>) -> Value {
     let known = json!({"rev": 1, "notices": [{"rev": 1, "pool": {"reset": true, "instances": instances}}]});
     json!({"listen": "127.0.0.1:0", "board": list, "known": known, "settings": settings()})
 }
 
-/// A running planner; it ends with its value.
+/// A running planner process, killed on drop.
 pub struct Planner {
     pub child: Child,
     pub owners: String,
     pub rest: String,
     config: Value,
     path: PathBuf,
-    /// Its operators' file, where it has one.
+    /// The operators' file, where the planner has one.
     operators: Option<PathBuf>,
 }
 
-/// An operators' file with these members of `rest`; a text that is a whole file stays as it is.
+/// An operators' file with these members in its section `rest`; a text that begins with `{` is used as the
+/// whole file.
 pub fn operators_file(rest: &str) -> String {
     match rest.starts_with('{') {
         true => rest.to_string(),
@@ -78,16 +87,16 @@
 }
 
 impl Planner {
-    pub fn start(boxes: &[String], board: Option<&str>, rest: Option<&str>) -> Planner {
+    pub fn start(machines: &[String], board: Option<&str>, rest: Option<&str>) -> Planner {
         let instances: Vec<Value> =
-            boxes.iter().zip(1..).map(|(a, n)| instance(&format!("b{n}"), a, "in_service")).collect();
+            machines.iter().zip(1..).map(|(a, n)| instance(&format!("b{n}"), a, "in_service")).collect();
         let first = json!({"rev": 1, "pool": {"reset": true, "instances": instances}});
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "5eed", "board": board,
             "known": {"rev": 1, "notices": [first]}, "settings": settings()});
         Planner::start_with(config, rest)
     }
 
-    /// One that knows no box, with so many descriptors.
+    /// Starts a planner without machines and with a limit on its descriptors.
     pub fn small(sockets: u32) -> Planner {
         let limits = json!({"cores": 0.2, "memory_mb": 32, "sockets": sockets});
         let config = json!({"listen": "127.0.0.1:0", "limits": limits, "settings": settings()});
@@ -98,11 +107,11 @@
         Planner::start_in(config, rest, &[])
     }
 
-    /// One with these variables in its environment.
+    /// Starts a planner with these environment variables.
     pub fn start_in(config: Value, rest: Option<&str>, variables: &[(&str, String)]) -> Planner {
         let path = unused_path("config.json");
         std::fs::write(&path, config.to_string()).expect("a configuration");
-        // The descriptors that the configuration grants are all that the system grants.
+        // The system enforces the descriptor limit of the configuration.
         let mut command = Command::new("/bin/sh");
         let most = config["limits"]["sockets"].as_u64().map_or("unlimited".into(), |most| most.to_string());
         command.args(["-c", "[ $1 = unlimited ] || ulimit -n $1; shift; exec \"$@\"", "sh", &most]);
@@ -123,7 +132,7 @@
         let (mut owners, mut at_rest, mut seen) = (String::new(), String::new(), String::new());
         while owners.is_empty() || (rest.is_some() && at_rest.is_empty()) {
             let mut line = String::new();
-            assert_ne!(log.read_line(&mut line).expect("a log line"), 0, "it ended: {seen}");
+            assert_ne!(log.read_line(&mut line).expect("a log line"), 0, "the planner exited: {seen}");
             let address =
                 || line.trim().rsplit_once("address=").map(|(_, a)| a.to_string()).expect("an address");
             if line.contains("listening for REST") {
@@ -141,7 +150,8 @@
         self.signal("-TERM");
     }
 
-    /// Has it read a file that names another board, or one that cannot be read.
+    /// Has the planner reload a configuration with another discovery address, or, for `None`, one that cannot
+    /// be parsed.
     pub fn reload(&mut self, board: Option<&str>) {
         self.config["board"] = json!(board);
         let text = board.map_or("{".to_string(), |_| self.config.to_string());
@@ -149,19 +159,19 @@
         self.signal("-HUP");
     }
 
-    /// Writes a configuration that differs so, for its next reload.
+    /// Changes the configuration file for the next reload.
     pub fn rewrite(&mut self, change: impl FnOnce(&mut Value)) {
         change(&mut self.config);
         std::fs::write(&self.path, self.config.to_string()).expect("a configuration");
     }
 
-    /// Has it read another operators' file, as it stands.
+    /// Has the planner reload with this text as its operators' file.
     pub fn reload_operators(&self, text: impl AsRef<[u8]>) {
         std::fs::write(self.operators.as_ref().expect("it has one"), text).expect("an operators' file");
         self.signal("-HUP");
     }
 
-    /// Stops the process where it is, has things happen meanwhile, and lets it go on: it finds all of them at once.
+    /// Pauses the process with SIGSTOP while `meanwhile` runs, so that it finds all resulting events at once.
     pub fn paused<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -174,7 +184,7 @@
         out
     }
 
-    /// Sends it a signal, by the word that `kill` takes.
+    /// Sends a signal, named by its option of `kill`, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
@@ -188,8 +198,8 @@
     }
 }
 
-/// Variables with which the system calls of a planner fail: one in so many, and one in so many reads and writes is short;
-/// none where that is 0.
+/// Environment variables that load the fault injector (`shim/faults.c`): one system call in `one_in` fails,
+/// and one read or write in `short_one_in` is short; none where the figure is 0.
 pub fn faults(seed: u64, one_in: u64, short_one_in: u64) -> Vec<(&'static str, String)> {
     static SHIM: OnceLock<PathBuf> = OnceLock::new();
     let shim = SHIM.get_or_init(|| {
@@ -221,7 +231,7 @@
 
 impl Wire {
     pub fn new(stream: TcpStream) -> Wire {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
         Wire { stream, bytes: Vec::new(), chunked: false }
     }
@@ -234,7 +244,7 @@
         self.stream.write_all(bytes).expect("sent");
     }
 
-    /// Reads until that much is there; false at the end of the connection.
+    /// Reads until `until` returns a length, and takes that many bytes; `None` at the end of the connection.
     fn fill(&mut self, until: impl Fn(&[u8]) -> Option<usize>) -> Option<Vec<u8>> {
         loop {
             if let Some(length) = until(&self.bytes) {
@@ -245,9 +255,9 @@
                 Ok(0) => return None,
                 Ok(count) => self.bytes.extend(&more[..count]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                // A read with a time limit is broken off where the system stops this process for a moment.
+                // A read with a time-out is interrupted where this process is stopped for a moment.
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-                Err(e) => panic!("nothing came: {e}; so far {:?}", escape(&self.bytes)),
+                Err(e) => panic!("no complete message: {e}; so far {:?}", escape(&self.bytes)),
             }
         }
     }
@@ -260,12 +270,12 @@
         self.fill(frame_length)
     }
 
-    /// Whether a whole frame has been read already.
+    /// Whether a complete frame has been read already.
     pub fn has_frame(&self) -> bool {
         frame_length(&self.bytes).is_some()
     }
 
-    /// Sends `METHOD PATH KEY BODY`, of which key (`-` for none) and body may be absent.
+    /// Sends an HTTP request given as `METHOD PATH KEY BODY`; key (`-` for none) and body may be absent.
     pub fn ask(&mut self, request: &str) {
         let mut words = request.splitn(4, ' ');
         let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
@@ -282,10 +292,10 @@
         );
     }
 
-    /// A whole answer, the head of a stream, or the next line of a stream.
+    /// Reads an HTTP response, the head of a stream, or the next line of a stream.
     pub fn answer(&mut self) -> Option<String> {
         if self.chunked {
-            // Each change is a line; how many share a chunk is left to chance.
+            // Each change is a line; a chunk may hold several.
             let mut line = self.line()?;
             while !line.starts_with(b"{") {
                 line = self.line()?;
@@ -300,30 +310,30 @@
             };
             head.lines().find_map(of)
         };
-        let mut said = head.lines().next().unwrap_or_default().replace("HTTP/1.1 ", "");
+        let mut response = head.lines().next().unwrap_or_default().replace("HTTP/1.1 ", "");
         for name in ["content-type:", "location:", "retry-after:"] {
-            said += &header(name).map(|v| format!("; {name} {v}")).unwrap_or_default();
+            response += &header(name).map(|v| format!("; {name} {v}")).unwrap_or_default();
         }
         match header("content-length:").and_then(|l| l.parse::<usize>().ok()) {
             Some(length) => {
                 let body = self.fill(|b| (b.len() >= length).then_some(length))?;
-                Some(format!("{said}\n    {}", String::from_utf8_lossy(&body).trim_end()))
+                Some(format!("{response}\n    {}", String::from_utf8_lossy(&body).trim_end()))
             }
             None => {
                 self.chunked = true;
-                Some(said)
+                Some(response)
             }
         }
     }
 }
 
-/// The length of the frame that stands first, once it is whole.
+/// The length of the first frame, if it is complete.
 pub fn frame_length(bytes: &[u8]) -> Option<usize> {
     let length = bytes.get(..2).map(|l| 2 + usize::from(u16::from_be_bytes([l[0], l[1]])))?;
     (length <= bytes.len()).then_some(length)
 }
 
-/// Bytes as text.
+/// Bytes as text, with non-printable ones as `\xNN`.
 pub fn escape(bytes: &[u8]) -> String {
     let one = |&b: &u8| match b {
         b'\\' => "\\\\".to_string(),
@@ -333,7 +343,7 @@
     bytes.iter().map(one).collect()
 }
 
-/// Text as bytes.
+/// The inverse of `escape`.
 pub fn unescape(text: &str) -> Vec<u8> {
     let (mut out, mut rest) = (Vec::new(), text.as_bytes());
     while let Some((&head, after)) = rest.split_first() {
@@ -352,18 +362,19 @@
     out
 }
 
-/// What the program draws anew each time, by the names that a transcript gives it.
+/// Ids and versions that the program generates, which differ from run to run; a transcript replaces them by
+/// fixed names.
 #[derive(Default)]
-struct Drawn {
+struct GeneratedIds {
     jobs: Vec<String>,
     version: String,
 }
 
-impl Drawn {
-    /// Takes what is drawn out of the text.
-    fn tidy(&mut self, text: &str, places: &[(String, String)]) -> String {
+impl GeneratedIds {
+    /// Replaces generated values and addresses in the text by fixed names.
+    fn mask(&mut self, text: &str, addresses: &[(String, String)]) -> String {
         let mut text = text.to_string();
-        for (address, name) in places {
+        for (address, name) in addresses {
             text = text.replace(address, name);
         }
         let mut out = String::new();
@@ -403,27 +414,27 @@
             rest = &after[end..];
         }
         let text = out + rest;
-        // A REST job's name on the boxes' wire is its id.
+        // The machine protocol names a REST job by its id.
         self.jobs.iter().zip(1..).fold(text, |text, (job, n)| text.replace(job, &format!("J{n}")))
     }
 
-    fn fill_in(&self, text: &str) -> String {
+    fn unmask(&self, text: &str) -> String {
         let epoch = self.version.split('-').next().unwrap_or_default();
         let text = text.replace("$V", &self.version).replace("$E", epoch);
         self.jobs.iter().zip(1..).fold(text, |text, (job, n)| text.replace(&format!("$J{n}"), job))
     }
 }
 
-/// Plays a script and gives the transcript.
+/// Runs a script and returns the transcript.
 pub fn play(script: &str) -> String {
-    let (mut transcript, mut drawn) = (String::new(), Drawn::default());
+    let (mut transcript, mut ids) = (String::new(), GeneratedIds::default());
     let mut listeners: BTreeMap<String, TcpListener> = BTreeMap::new();
     let mut wires: BTreeMap<String, Wire> = BTreeMap::new();
     let mut hushed: Vec<Wire> = Vec::new();
     let (mut rest, mut planner): (Option<String>, Option<Planner>) = (None, None);
-    let mut places: Vec<(String, String)> = Vec::new();
+    let mut addresses: Vec<(String, String)> = Vec::new();
     for line in script.lines().map(str::trim_end).filter(|l| !l.is_empty()) {
-        eprintln!("{line}"); // Shown where a test fails.
+        eprintln!("{line}"); // Shown only if the test fails.
         transcript += line;
         transcript.push('\n');
         let (first, after) = line.split_once(' ').unwrap_or((line, ""));
@@ -436,7 +447,7 @@
                 };
                 for name in names {
                     let listener = TcpListener::bind("127.0.0.1:0").expect("a place to listen");
-                    places
+                    addresses
                         .push((listener.local_addr().expect("its address").to_string(), format!("@{name}")));
                     listeners.insert(name, listener);
                 }
@@ -468,7 +479,7 @@
             }
             "exit" => transcript += &format!("  {}\n", running.child.wait().expect("it ends")),
             _ if after == "close" => drop(wires.remove(first)),
-            // It stays open and says nothing more; the next word is on a new connection.
+            // The connection stays open and unused; the peer's next message uses a new one.
             _ if after == "hush" => hushed.extend(wires.remove(first)),
             _ => {
                 let wire = wires.entry(first.to_string()).or_insert_with(|| match listeners.get(first) {
@@ -481,12 +492,12 @@
                     continue;
                 }
                 if after == ">" {
-                    continue; // It connects and says nothing.
+                    continue; // The peer only connects.
                 }
                 if let Some(bytes) = after.strip_prefix("> ") {
-                    let text = places
+                    let text = addresses
                         .iter()
-                        .fold(drawn.fill_in(bytes), |t, (address, name)| t.replace(name, address));
+                        .fold(ids.unmask(bytes), |t, (address, name)| t.replace(name, address));
                     match (first.starts_with('h'), first.starts_with('b')) {
                         (true, _) => wire.ask(&text),
                         (_, true) => wire.send(&[&unescape(&text)[..], b"\n"].concat()),
@@ -501,36 +512,36 @@
                 };
                 let got = got.unwrap_or_else(|| "(closed)".into());
                 eprintln!("  {got}");
-                transcript += &format!("  {}\n", drawn.tidy(&got, &places));
+                transcript += &format!("  {}\n", ids.mask(&got, &addresses));
             }
         }
     }
     transcript
 }
 
-/// A stand-in node that acts by the path in a task's description, and books every set-up that it gets.
-pub struct Box_ {
+/// A stand-in machine that acts by the path in a task's description, and counts the set-ups that it receives.
+pub struct StandIn {
     node: Node,
     seen: std::cell::Cell<usize>,
 }
 
-impl Box_ {
-    /// Set-ups since it was asked last.
+impl StandIn {
+    /// The number of set-ups since the last call.
     pub fn offers(&self) -> usize {
         let asks = self.node.ledger().asks();
         asks - self.seen.replace(asks)
     }
 }
 
-pub fn stand_in() -> (String, Box_) {
+pub fn stand_in() -> (String, StandIn) {
     let forever = (3_600_000, 3_600_000);
     let plan = Plan { by_path: true, life_ms: forever, ..Plan::default() };
     let node = Node::start("127.0.0.1:0", plan, Clock::start()).expect("a place to listen");
-    (node.address().to_string(), Box_ { node, seen: Default::default() })
+    (node.address().to_string(), StandIn { node, seen: Default::default() })
 }
 
-/// A box with so short a line of connections that a few fill it.
-pub fn short_box() -> (socket2::Socket, String) {
+/// A listener with a backlog so short that a few connections fill it, and its address.
+pub fn short_backlog_listener() -> (socket2::Socket, String) {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -540,7 +551,7 @@
     (listener, address)
 }
 
-/// Fills a box's line of connections, so that no other comes up.
+/// Fills the backlog of a listener, so that no further connection comes up.
 pub fn fill(address: &str) -> Vec<TcpStream> {
     let to = address.parse().expect("an address");
     let more = || TcpStream::connect_timeout(&to, Duration::from_millis(200)).ok();
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! Recorded exchanges, played against the program and compared with what they brought before.
+//! Runs the scripts in `tests/exchanges` against the program and compares the transcripts with recorded ones.
 
 mod exchange;
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Planners as processes over stand-in machines: more machines than descriptors, and faults that planners share.
+//! Planner processes with stand-in machines: more machines than descriptors, and faults that all planners see
+//! together.
 
 use burlhook_lab::load::End;
 use burlhook_lab::planner::Program;
@@ -9,9 +10,9 @@
     Program::at(env!("CARGO_BIN_EXE_burlhook"))
 }
 
-/// Guards owners and their tasks where a planner has fewer descriptors than machines: each is served, the end of each
-/// task is told within the protocol's 8 s also where no connection is held, and the limit, which the system enforces, is
-/// never reached.
+/// Guards owners and their tasks where a planner has fewer descriptors than machines: each task is served,
+/// its end is reported within the protocol's 8 s even if no connection to its machine is open, and the limit,
+/// which the system enforces, is never reached.
 #[test]
 fn more_machines_than_descriptors() {
     let (sockets, rate, span) = (64, 60.0, Duration::from_secs(5));
@@ -19,14 +20,15 @@
     let report = run(&program(), &options).expect("it runs");
     let asked: u64 = report.tallies.iter().map(|t| t.asked).sum();
     assert_eq!((asked, report.count(End::Placed)), (300, 300), "each is placed");
-    assert_eq!((report.late_ms.len(), report.untold), (300, 0), "each end is told, and once");
+    assert_eq!((report.late_ms.len(), report.untold), (300, 0), "each end is reported exactly once");
     assert!(report.late(1.0) < 8_000, "the last after {} ms", report.late(1.0));
-    // Owners and the program itself hold some 25; the rest is in use, so the links did go round.
+    // Owners and the program itself hold some 25 descriptors. More in use shows that connections to machines
+    // were replaced in turn.
     assert!((30..64).contains(&report.descriptors), "{} descriptors", report.descriptors);
 }
 
-/// Guards machines against planners in step: those that start together, and those whose connections broke together, do
-/// not all come in the same moment.
+/// Guards machines against synchronised dials: planners that start together, or whose connections broke
+/// together, do not all dial at the same moment.
 #[test]
 fn planners_do_not_dial_in_step() {
     let span = Duration::from_secs(3);
--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -1,4 +1,5 @@
-//! Groups on the wire: every status, keys, watches, a mix, and a stop mid-way.
+//! Groups through the REST API: every status, keys, watches, a mix, and stops, reloads and kills during
+//! placement.
 
 use burlhook_lab::node::{Act, Node, Plan, What};
 use burlhook_lab::planner::{config, Planner, Program};
@@ -37,10 +38,10 @@
 }
 
 fn read(mut stream: TcpStream) -> (u16, Value) {
-    let mut said = String::new();
-    stream.read_to_string(&mut said).expect("an answer");
-    let status = said.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
-    let body = said.split_once("\r\n\r\n").expect("a body").1;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("an answer");
+    let status = response.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
+    let body = response.split_once("\r\n\r\n").expect("a body").1;
     (status, serde_json::from_str(body).expect("JSON"))
 }
 
@@ -48,7 +49,7 @@
     read(send(to, head, key, body))
 }
 
-/// Which operators' file is in force.
+/// The generation of the operators' file in force.
 fn generation(rest: SocketAddr) -> u64 {
     let (status, limits) = call(rest, "GET /v1/limits", None, &Value::Null);
     assert_eq!(status, 200);
@@ -64,7 +65,8 @@
     json!({"members": members, "deadlineMs": 3000, "onLoss": "cut"})
 }
 
-/// Guards clients: each way to end has a status of its own, a retry joins its group, and a cancel ends every member.
+/// Guards clients: each outcome has its own HTTP status, a retry joins its group, and a cancellation ends
+/// every member.
 #[test]
 fn every_way_to_end_has_its_status() {
     let (nodes, _planner, rest) = rig(FILE, 40);
@@ -77,17 +79,17 @@
     let (status, joined) = post(Some("night"), &group(4, 1.0));
     assert_eq!((status, &joined["id"]), (200, &placed["id"]));
     assert_eq!(post(Some("night"), &group(3, 1.0)).0, 422);
-    // No room, ever; and members that cannot be understood, by number.
+    // A group that no machine has room for; then invalid members, which the problem names by index.
     let (status, refused) = post(Some("large"), &group(8, 60.0));
     assert_eq!((status, &refused["type"]), (429, &json!("urn:burlhook:problem:group-refused")), "{refused}");
     assert!(refused["retryAfterMs"].as_u64().is_some_and(|ms| ms > 0), "{refused}");
     let mut bad = group(2, 1.0);
     bad["members"][1]["class"] = json!("none");
-    let (status, told) = post(Some("bad"), &bad);
-    assert_eq!((status, &told["detail"]), (400, &json!("member 1: there is no class \"none\"")));
+    let (status, problem) = post(Some("bad"), &bad);
+    assert_eq!((status, &problem["detail"]), (400, &json!("member 1: there is no class \"none\"")));
     assert_eq!(post(Some("many"), &group(9, 1.0)).0, 400);
     assert_eq!(post(None, &group(2, 1.0)).0, 400, "a keyed member has no key");
-    // Members are jobs; a cancel cuts them all.
+    // Members are jobs; cancelling the group stops them all.
     let job = members[0]["job"].as_str().expect("a job");
     assert_eq!(
         call(rest, &format!("GET /v1/jobs/{job}"), None, &Value::Null).1["status"]["phase"],
@@ -104,25 +106,26 @@
     assert_eq!(call(rest, "GET /v1/groups/0000000000000001", None, &Value::Null).0, 404);
 }
 
-/// Guards clients that post at the same time under one key: one group, one copy of each member.
+/// Guards clients that post concurrently under one key: they get one group with one copy of each member.
 #[test]
 fn the_same_group_at_once_is_one_group() {
     let (nodes, _planner, rest) = rig(FILE, 40);
     let body = group(6, 1.0);
-    let said: Vec<(u16, Value)> = std::thread::scope(|scope| {
+    let responses: Vec<(u16, Value)> = std::thread::scope(|scope| {
         let asks: Vec<_> =
             (0..8).map(|_| scope.spawn(|| call(rest, "POST /v1/groups", Some("one"), &body))).collect();
         asks.into_iter().map(|ask| ask.join().expect("no panic")).collect()
     });
     assert!(
-        said.iter().all(|(status, of)| matches!(status, 200 | 201) && of["id"] == said[0].1["id"]),
-        "{said:?}"
+        responses.iter().all(|(status, of)| matches!(status, 200 | 201) && of["id"] == responses[0].1["id"]),
+        "{responses:?}"
     );
-    assert_eq!(said.iter().filter(|(status, _)| *status == 201).count(), 1);
+    assert_eq!(responses.iter().filter(|(status, _)| *status == 201).count(), 1);
     assert_eq!(nodes.iter().map(|n| n.ledger().asks()).sum::<usize>(), 6);
 }
 
-/// Guards operators who have not turned groups on, and those who do by a reload.
+/// Guards operators: groups are off without their section in the operators' file, and a reload can turn them
+/// on.
 #[test]
 fn groups_are_off_without_their_section() {
     let (_nodes, planner, rest) = rig("{rest: {listen: '127.0.0.1:0'}}", 40);
@@ -136,7 +139,7 @@
     assert_eq!(post(), 200);
 }
 
-/// Guards a watcher: every change of a group comes, in order, and the last one holds its answer.
+/// Guards watchers: every change of a group arrives, in order, and the last one contains the answer.
 #[test]
 fn a_group_can_be_watched() {
     let (_nodes, _planner, rest) = rig(FILE, 40);
@@ -163,23 +166,24 @@
     assert_eq!(phases, ["Admitting", "Placing", "Standing"]);
 }
 
-/// Guards what a stop leaves: a group that waits for a machine that hangs is cut and answered before the planner ends.
+/// Guards a stop of the planner: a group that waits for hanging machines is cancelled and answered before the
+/// planner exits.
 #[test]
 fn a_stop_midway_answers_and_cuts() {
     let (nodes, planner, rest) = rig(FILE, 40);
     nodes.iter().for_each(|node| node.act(Act::Hang));
     let waits = send(rest, "POST /v1/groups", Some("stop"), &group(6, 1.0));
-    until_sent(&nodes, 6);
-    planner.stop(Duration::from_secs(20)).expect("it ends well");
-    let (status, said) = read(waits);
-    assert_eq!((status, &said["detail"]), (502, &json!("the planner is stopping")), "{said}");
-    // The orders to cut have come to each, though none has done anything about them.
-    let told: usize =
+    wait_until_sent(&nodes, 6);
+    planner.stop(Duration::from_secs(20)).expect("the planner exits with success");
+    let (status, problem) = read(waits);
+    assert_eq!((status, &problem["detail"]), (502, &json!("the planner is stopping")), "{problem}");
+    // Each machine has received the stop orders, though it has not handled them.
+    let stop_orders: usize =
         nodes.iter().map(|n| n.ledger().count(|w| matches!(w, What::Stopped | What::Closed))).sum();
-    assert!(told >= 6, "{told}");
+    assert!(stop_orders >= 6, "{stop_orders}");
 }
 
-fn until_sent(nodes: &[Node], asks: usize) {
+fn wait_until_sent(nodes: &[Node], asks: usize) {
     let started = std::time::Instant::now();
     while nodes.iter().map(|n| n.ledger().asks()).sum::<usize>() < asks {
         assert!(started.elapsed() < Duration::from_secs(10), "not all was sent");
@@ -187,7 +191,8 @@
     }
 }
 
-/// Guards machines against owners that leave mid-way: a group that nobody can ask for again is cut, one with a key goes on.
+/// Guards machines against owners that disconnect during placement: a group without a key is cancelled, as
+/// nobody can ask for it again; one with a key continues.
 #[test]
 fn an_owner_that_leaves_gives_up_what_it_alone_waits_for() {
     let (nodes, _planner, rest) = rig(FILE, 40);
@@ -197,9 +202,9 @@
         let before: usize = nodes.iter().map(|n| n.ledger().asks()).sum();
         nodes.iter().for_each(|node| node.act(Act::Hang));
         let waits = send(rest, "POST /v1/groups", key, &body);
-        until_sent(&nodes, before + 6);
+        wait_until_sent(&nodes, before + 6);
         drop(waits);
-        // Where it is given up, the group is so before its machines say anything.
+        // A group without a key must be cancelled before its machines answer.
         let started = std::time::Instant::now();
         let over = loop {
             let groups = call(rest, "GET /v1/groups", None, &Value::Null).1;
@@ -218,17 +223,19 @@
     }
 }
 
-/// Guards a group over a reload that turns groups off while it is being placed: it ends as it was begun.
+/// Guards a group that is being placed while a reload turns groups off: it is placed under the settings that
+/// it began with.
 #[test]
 fn a_reload_midway_changes_nothing_for_a_group() {
     let (nodes, planner, rest) = rig(FILE, 40);
     nodes.iter().for_each(|node| node.act(Act::Hang));
     let waits = send(rest, "POST /v1/groups", Some("kept"), &group(6, 1.0));
-    until_sent(&nodes, 6);
+    wait_until_sent(&nodes, 6);
     let before = generation(rest);
     planner.reload("{rest: {listen: '127.0.0.1:0'}}").expect("a reload");
     let started = std::time::Instant::now();
-    // A group that were posted to see it would wait on the nodes that hang, for as long as the first may.
+    // Posting another group to detect the reload would wait for the hanging nodes, for as long as the first
+    // group may.
     while generation(rest) == before {
         assert!(started.elapsed() < Duration::from_secs(10), "never turned off");
     }
@@ -237,29 +244,33 @@
     assert_eq!(read(waits).0, 201);
 }
 
-/// Guards what a kill leaves: set-ups that were open go with their connections and never run; what stood runs on, which
-/// nothing but a disk could change.
+/// Guards a kill of the planner: open set-ups end with their connections and never run. Running tasks
+/// continue; a restarted planner could only stop them if planners kept state on disk.
 #[test]
 fn a_planner_killed_midway_starts_nothing_more() {
     let (nodes, planner, rest) = rig(FILE, 40);
     nodes[1..].iter().for_each(|node| node.act(Act::Hang));
     let waits = send(rest, "POST /v1/groups", Some("killed"), &group(6, 1.0));
-    until_sent(&nodes, 6);
+    wait_until_sent(&nodes, 6);
     drop(planner);
     let started = std::time::Instant::now();
-    // Machines that were asked nothing may not have been dialled yet.
+    // Machines that received no set-up may not have been dialled yet.
     let asked = |n: &&Node| n.ledger().asks() > 0;
     while nodes.iter().filter(asked).any(|n| n.ledger().count(|w| *w == What::Closed) == 0) {
-        assert!(started.elapsed() < Duration::from_secs(10), "a connection outlives its planner");
+        assert!(
+            started.elapsed() < Duration::from_secs(10),
+            "a connection remained open after its planner was killed"
+        );
         std::thread::yield_now();
     }
     nodes.iter().for_each(|node| node.act(Act::Wake));
     drop(waits);
     let ran = |n: &Node| n.ledger().count(|w| matches!(w, What::Runs | What::RunsUntold));
-    assert_eq!(nodes[1..].iter().map(ran).sum::<usize>(), 0, "nothing that was open runs");
+    assert_eq!(nodes[1..].iter().map(ran).sum::<usize>(), 0, "no open set-up runs");
 }
 
-/// Guards operators who rehearse: a mix holds groups beside jobs, and a line that is neither is told.
+/// Guards `burlhook submit`: a mix may contain groups as well as jobs, and an invalid line is reported with
+/// its number.
 #[test]
 fn a_mix_holds_groups() {
     let (_nodes, _planner, rest) = rig(FILE, 40);
@@ -276,8 +287,8 @@
     let output =
         command.args(["submit", "--url", &format!("http://{rest}")]).arg(&path).output().expect("it runs");
     std::fs::remove_file(&path).expect("the mix goes");
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(said.starts_with("1 201 Running\n2 201 Standing\n3 429 there is no room"), "{said}");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(told.contains(":4: exactly one of job and group is expected"), "{told}");
+    let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(stdout.starts_with("1 201 Running\n2 201 Standing\n3 429 there is no room"), "{stdout}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains(":4: exactly one of job and group is expected"), "{stderr}");
 }
--- a/tests/many_placers.rs
+++ b/tests/many_placers.rs
@@ -1,4 +1,4 @@
-//! Hundreds of placers that see one late view and nothing of each other.
+//! Hundreds of placers that share one stale machine list and have no other information about each other.
 
 mod common;
 use burlhook::*;
@@ -23,8 +23,8 @@
         *count.entry(at).or_default() += 1;
     }
     let most = count.values().max().copied().unwrap_or_default();
-    assert!(most <= 10, "two each is even, {most} herd on one");
-    assert!(count.len() > 60, "only {} machines get anything", count.len());
+    assert!(most <= 10, "an even spread is two each, but one machine got {most}");
+    assert!(count.len() > 60, "only {} machines were used", count.len());
 }
 
 #[test]
@@ -72,43 +72,46 @@
         }
     }
     let worst = sent.iter().map(|&from| sent.iter().filter(|&&t| t >= from && t < from + 3.0).count()).max();
-    let worst = worst.expect("some offers while it is cold");
+    let worst = worst.expect("at least one offer while the machine is cold");
     assert!((3..=60).contains(&worst), "{worst} offers in one window");
 }
 
-/// Seconds. The window over which a cold machine's offers are counted.
-const FALL_S: f64 = 3.0;
-/// Count. Cold machines of a release.
-const COLD: u32 = 3;
+/// Seconds. The window over which offers to a cold machine are counted.
+const OFFER_WINDOW_S: f64 = 3.0;
+/// Number of cold machines in a roll-out.
+const COLD_MACHINES: u32 = 3;
 
-/// A release seen by placers that want every machine of it all the time, some of which die and come up again.
-struct Release {
+/// A roll-out of cold machines under placers that always have tasks for each of them. Some placers are killed
+/// and restarted.
+struct RollOut {
     wanted: Settings,
     warm: Entry,
     cold: Vec<Entry>,
     all: Vec<Rig>,
-    /// When each cold machine was sent an offer.
+    /// Times of the offers that each cold machine was sent.
     sent: Vec<Vec<f64>>,
     requests: u64,
 }
 
-impl Release {
-    /// So many placers, which are told that they are `told`, and machines that bear so many offers.
-    fn new(placers: u32, told: u32, bears: f64) -> Release {
+impl RollOut {
+    /// `placers` placers that are configured for a fleet of `configured`, and machines that bear `bears`
+    /// offers per window.
+    fn new(placers: u32, configured: u32, bears: f64) -> RollOut {
         let wanted = Settings {
             cold_bears: bears,
-            fall_s: FALL_S,
+            fall_s: OFFER_WINDOW_S,
             warm_within_s: 60.0,
-            placers: told,
+            placers: configured,
             ..settings(Effect::Repeatable)
         };
-        let warm = entry(COLD, 0.0);
-        let cold = (0..COLD).map(|n| Entry { started: 97.0 + f64::from(n), ..entry(n, 10.0) }).collect();
+        let warm = entry(COLD_MACHINES, 0.0);
+        let cold =
+            (0..COLD_MACHINES).map(|n| Entry { started: 97.0 + f64::from(n), ..entry(n, 10.0) }).collect();
         let all = (0..placers).map(|n| Rig::seeded(wanted.clone(), &[warm], u64::from(n))).collect();
-        Release { wanted, warm, cold, all, sent: vec![Vec::new(); COLD as usize], requests: 0 }
+        RollOut { wanted, warm, cold, all, sent: vec![Vec::new(); COLD_MACHINES as usize], requests: 0 }
     }
 
-    /// One placer dies and comes up again, with the list as it last had it.
+    /// Restarts one placer with the machine list that it last had.
     fn restart(&mut self, now: f64, at: usize) {
         let seed = 1_000 * (now * 100.0) as u64 + at as u64;
         let mut rig =
@@ -118,8 +121,9 @@
         self.all[at] = rig;
     }
 
-    /// Books the offers among these actions, and has each task run and end, so that only the budget holds others back.
-    fn take(&mut self, now: f64, at: usize, actions: &[Action]) {
+    /// Records the offers among these actions, and has each task run and end at once, so that nothing but the
+    /// budget limits further offers.
+    fn record_offers(&mut self, now: f64, at: usize, actions: &[Action]) {
         for action in actions {
             let Action::Bind { request, machine, .. } = *action else { continue };
             self.sent[machine.0 as usize].push(now);
@@ -135,12 +139,13 @@
                 report: None,
             };
             let more = rig.feed(now, Event::Ended(end));
-            self.take(now, at, &more);
+            self.record_offers(now, at, &more);
         }
     }
 
-    /// Twenty seconds of it: half of the placers at once after 5 s and the others after 11 s, and one each 0.3 s.
-    fn play(&mut self) {
+    /// Simulates 20 s. Half of the placers restart at once after 5 s and the other half after 11 s; one more
+    /// restarts every 0.3 s.
+    fn simulate(&mut self) {
         for step in 0u64..400 {
             let now = 100.0 + step as f64 * 0.05;
             for at in 0..self.all.len() {
@@ -151,11 +156,11 @@
                 if restarts && step > 0 {
                     self.restart(now, at);
                 }
-                // Whole lists come again and again, at each placer at its own time.
+                // Each placer receives the whole list repeatedly, at times of its own.
                 if (step as usize + at).is_multiple_of(10) {
                     let entries = [&[self.warm], &self.cold[..]].concat();
                     let actions = self.all[at].feed(now, Event::List { kind: ListKind::Whole, entries });
-                    self.take(now, at, &actions);
+                    self.record_offers(now, at, &actions);
                 }
                 let actions = if (step as usize + at).is_multiple_of(4) {
                     self.requests += 1;
@@ -163,44 +168,49 @@
                 } else {
                     self.all[at].feed(now, Event::Timer)
                 };
-                self.take(now, at, &actions);
+                self.record_offers(now, at, &actions);
             }
         }
     }
 
-    /// The most offers that one cold machine had in any window.
+    /// The largest number of offers that one cold machine received in any window.
     fn worst(&self) -> usize {
         let most = |sent: &Vec<f64>| {
-            let within = |&from: &f64| sent.iter().filter(|&&t| t >= from && t < from + FALL_S).count();
+            let within =
+                |&from: &f64| sent.iter().filter(|&&t| t >= from && t < from + OFFER_WINDOW_S).count();
             sent.iter().map(within).max().unwrap_or_default()
         };
         self.sent.iter().map(most).max().unwrap_or_default()
     }
 }
 
-/// Guards cold machines against all processes together: a few dozen placers, whole lists that come again, restarts one by
-/// one and by halves. The machine bears N and 2 x root of N + 2; placers may be a quarter more than they were told.
+/// Guards cold machines against the sum of all processes: a few dozen placers, repeated whole lists, and
+/// restarts one by one and by halves. A machine bears N + 2 * sqrt(N) + 2 offers per window; there may be a
+/// quarter more placers than their settings say.
 #[test]
 fn a_few_dozen_placers_with_restarts_push_no_cold_machine_over() {
     for placers in [5, 16, 24, 48] {
         for bears in [10.0, 30.0, 70.0] {
-            for told in [placers, placers * 4 / 5] {
-                let mut release = Release::new(placers, told, bears);
-                release.play();
-                let (worst, most) = (release.worst(), bears + 2.0 * bears.sqrt() + 2.0);
+            for configured in [placers, placers * 4 / 5] {
+                let mut roll_out = RollOut::new(placers, configured, bears);
+                roll_out.simulate();
+                let (worst, most) = (roll_out.worst(), bears + 2.0 * bears.sqrt() + 2.0);
                 assert!(
                     worst as f64 <= most,
-                    "{placers} placers, told {told}, N {bears}: {worst} in a window"
+                    "{placers} placers, configured for {configured}, N {bears}: {worst} offers in one window"
+                );
+                let used = roll_out.sent.iter().any(|sent| !sent.is_empty());
+                assert!(
+                    used,
+                    "{placers} placers, configured for {configured}, N {bears}: no machine was used"
                 );
-                let used = release.sent.iter().any(|sent| !sent.is_empty());
-                assert!(used, "{placers} placers, told {told}, N {bears}: no machine is used");
             }
         }
     }
 }
 
 #[test]
-fn a_placer_that_came_up_again_counts_its_forgotten_offers_as_sent() {
+fn a_restarted_placer_assumes_that_it_sent_its_full_share_of_offers() {
     let mut wanted = settings(Effect::Repeatable);
     wanted.cold_bears = 60.0;
     let mut rig = Rig::new(wanted, &[Entry { started: 0.5, ..entry(0, 10.0) }]);
@@ -216,7 +226,7 @@
         Action::Bind { give_up_at, .. } => Some(*give_up_at),
         _ => None,
     });
-    assert_eq!(until, Some(2.0 + 5.0 / 4.0), "a fourth of the deadline, as there are four attempts");
+    assert_eq!(until, Some(2.0 + 5.0 / 4.0), "a quarter of the deadline, as up to four attempts are allowed");
 }
 
 #[test]
@@ -240,21 +250,26 @@
 }
 
 #[test]
-fn placers_that_lose_a_machine_at_once_do_not_look_for_it_in_step() {
+fn placers_that_lose_a_machine_together_do_not_probe_it_in_step() {
     let mut all = placers(60, &settings(Effect::Repeatable), &[entry(0, 9.0)]);
-    let mut looks: Vec<f64> = Vec::new();
+    let mut probe_delays: Vec<f64> = Vec::new();
     for (n, rig) in (0u64..).zip(&mut all) {
         assert_eq!(binds(&rig.submit(2.0, n, task(n, 7.0))), [0]);
         rig.end(2.5, n, 0, Outcome::TimedOut, Reason::Unknown);
         let probes = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Probe { .. }));
         let mut times = (0..800).map(|step| 2.5 + f64::from(step) * 0.01);
-        looks.extend(times.find(|&at| probes(&rig.feed(at, Event::Timer))).map(|at| at - 2.5));
+        probe_delays.extend(times.find(|&at| probes(&rig.feed(at, Event::Timer))).map(|at| at - 2.5));
     }
-    assert_eq!(looks.len(), 60, "each looks for it again");
+    assert_eq!(probe_delays.len(), 60, "each placer probes the machine again");
     let (least, most) =
-        (looks.iter().copied().fold(9.0, f64::min), looks.iter().copied().fold(0.0, f64::max));
-    let tenth =
-        looks.iter().map(|&from| looks.iter().filter(|&&t| t >= from && t < from + 0.1).count()).max();
-    assert!(most <= least * 4.0 / 3.0 + 0.05, "no bar is shortened by more than a fourth: {least} to {most}");
-    assert!(tenth < Some(30), "{tenth:?} of 60 in a tenth of a second");
+        (probe_delays.iter().copied().fold(9.0, f64::min), probe_delays.iter().copied().fold(0.0, f64::max));
+    let tenth = probe_delays
+        .iter()
+        .map(|&from| probe_delays.iter().filter(|&&t| t >= from && t < from + 0.1).count())
+        .max();
+    assert!(
+        most <= least * 4.0 / 3.0 + 0.05,
+        "no bar is shortened by more than a quarter: {least} s to {most} s"
+    );
+    assert!(tenth < Some(30), "{tenth:?} of 60 probes within a tenth of a second");
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,5 @@
-//! Operators' files that must be refused, each with every fault, its line, path and rule; and what stays in force.
+//! Operators' files that must be refused, with each fault's line, path and rule; a refused file leaves the
+//! old one in force.
 
 mod exchange;
 
@@ -20,7 +21,8 @@
     std::env::temp_dir().join(format!("burlhook-operators-{}-{name}", std::process::id()))
 }
 
-/// Runs `check` or another command of the program on a file; gives whether it went well, and what it said.
+/// Runs a command of the program, such as `check`, on a file; returns whether it succeeded, its standard
+/// output and error.
 fn run(arguments: &[&str], file: &Path) -> (bool, String, String) {
     // Two tests may look at the same file at once.
     static COUNT: AtomicU32 = AtomicU32::new(0);
@@ -35,16 +37,17 @@
     (output.status.success(), text(&output.stdout), text(&output.stderr))
 }
 
-/// Guards the rules against any file of the corpus: each is refused, and its faults are told as recorded.
+/// Guards the rules for operators' files: each invalid file is refused, and its faults are reported as
+/// recorded.
 #[test]
 fn every_bad_file_is_refused_with_place_and_rule() {
     let files = corpus();
     assert!(files.len() >= 40, "{} files", files.len());
     for file in files {
-        let (well, _, told) = run(&["check"], &file);
-        assert!(!well, "{} was taken", file.display());
+        let (succeeded, _, told) = run(&["check"], &file);
+        assert!(!succeeded, "{} was accepted", file.display());
         let name = file.file_stem().expect("a name").to_string_lossy().into_owned();
-        // The drawings below each line are for people; the lines are what is promised.
+        // Only the lines that begin with the file are stable output; the excerpts below them are for people.
         let lines: Vec<&str> = told.lines().filter(|l| l.starts_with("FILE")).collect();
         assert!(!lines.is_empty(), "{name}: {told}");
         insta::with_settings!({prepend_module_to_snapshot => false, omit_expression => true, snapshot_path => "snapshots/operators"}, {
@@ -53,7 +56,7 @@
     }
 }
 
-/// Guards operators who look at a fault: the line of the file stands below it, with a mark.
+/// Guards readers of a fault report: it shows the faulty line of the file, with a mark.
 #[test]
 fn a_fault_is_shown_in_its_line() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/operators");
@@ -61,7 +64,7 @@
     insta::assert_snapshot!("a_fault_is_shown_in_its_line", told);
 }
 
-/// Guards a start: a bad file ends the program with one line, whatever it is that stands there.
+/// Guards the start of a planner: any invalid operators' file ends the program with a one-line message.
 #[test]
 fn a_bad_file_ends_the_start_in_one_line() {
     let large = scratch("large");
@@ -76,8 +79,8 @@
         (many, "(and 7 more faults)"),
     ];
     for (file, wanted) in cases {
-        let (well, _, told) = run(&["serve"], &file);
-        assert!(!well && told.contains(wanted), "{told}");
+        let (succeeded, _, told) = run(&["serve"], &file);
+        assert!(!succeeded && told.contains(wanted), "{told}");
         assert_eq!(told.lines().count(), 1, "{told}");
     }
     let _ = (std::fs::remove_file(large), std::fs::remove_dir_all(folder));
@@ -89,19 +92,21 @@
     serde_json::from_str(said.split_once('\n').expect("a body").1).expect("JSON")
 }
 
-/// Waits until the planner has read the file: a taken one counts up, a refused one is told of.
-fn until(client: &mut Wire, done: impl Fn(&Value) -> bool) -> Value {
+/// Polls `/v1/limits` until `done` holds for it, as the planner reads its file some time after a signal: an
+/// applied file increments the generation, a refused one is shown in `lastRefusal`.
+fn wait_for_limits(client: &mut Wire, done: impl Fn(&Value) -> bool) -> Value {
     let started = std::time::Instant::now();
     loop {
         let now = limits(client);
         if done(&now) {
             return now;
         }
-        assert!(started.elapsed().as_secs() < 20, "never: {now}");
+        assert!(started.elapsed().as_secs() < 20, "not reached within 20 s: {now}");
     }
 }
 
-/// Guards a running planner: each bad file of the corpus leaves the old one in force, and the reason can be looked at.
+/// Guards a running planner: each invalid file leaves the old one in force, and the REST API shows the
+/// reason.
 #[test]
 fn a_refused_file_leaves_the_old_one_in_force() {
     let good = "{rest: {listen: '127.0.0.1:0'}, limits: {default: {attempts: 2}, classes: {keyed: {attemptMs: 700}}}}";
@@ -115,25 +120,26 @@
     let mut last = Value::Null;
     for file in corpus() {
         planner.reload_operators(std::fs::read(&file).expect("a file"));
-        let now = until(&mut client, |now| now["lastRefusal"] != last);
+        let now = wait_for_limits(&mut client, |now| now["lastRefusal"] != last);
         assert!(same(&first, &now), "{}: {now}", file.display());
         assert!(now["lastRefusal"]["faults"][0].is_string());
         last = now["lastRefusal"].clone();
     }
-    // And a good one is taken still.
+    // A valid file is still applied.
     planner.reload_operators(good.replace("attempts: 2", "attempts: 3"));
-    let now = until(&mut client, |now| now["generation"] == json!(2));
+    let now = wait_for_limits(&mut client, |now| now["generation"] == json!(2));
     assert_eq!((&now["default"]["attempts"], now["digest"] == first["digest"]), (&json!(3), false));
 }
 
-/// Guards the example that operators start from, and what they are told of it.
+/// Guards the example file `deploy/operators.json5`: it is valid, and `limits explain` and `limits diff`
+/// print what is recorded.
 #[test]
 fn limits_are_explained_and_compared() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/operators.json5");
     assert_eq!(run(&["check"], &file), (true, String::new(), String::new()));
     let of = ["limits", "explain", "--class", "keyed", "--service", "notices-7", "--front", "rest"];
-    let (well, told, _) = run(&of, &file);
-    assert!(well);
+    let (succeeded, told, _) = run(&of, &file);
+    assert!(succeeded);
     insta::assert_snapshot!("limits_explain", told);
     let (old, new) = (scratch("old"), scratch("new"));
     std::fs::write(&old, std::fs::read(&file).expect("a file")).expect("a file");
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -1,29 +1,32 @@
-//! Crossings on real sockets, each forced: a planner that is stopped finds all that happened meanwhile at once, and peers
-//! wait for each other at known points. `docs/design/races.md` is the table that these tests stand in.
+//! Race conditions on real sockets, each forced: the planner process is paused, so that it finds several
+//! events at once when it resumes, or peers wait for each other at known points. `docs/design/races.md` lists
+//! the races and these tests.
 
 mod exchange;
 
 use exchange::protocol::{
-    accept, answered, close, event, give_up, listener, running, set_up, stop, test, told, ANSWER, RELEASE,
+    accept, answered, close, event, give_up, kind_and_task, listener, running, set_up, stop, test, ANSWER,
+    RELEASE,
 };
-use exchange::{fill, instance, knows, settings, short_box, unescape, Planner, Wire};
+use exchange::{config_with, fill, instance, settings, short_backlog_listener, unescape, Planner, Wire};
 use serde_json::{json, Value};
 use socket2::SockRef;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Far longer than anything takes: it only ends a test that hangs.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Rounds of a crossing in which the program picks at random among what is ready.
+/// Ends a test that hangs; far longer than any step takes.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
+/// Repetitions of a race in which the planner handles ready sockets in random order.
 const ROUNDS: u64 = 8;
-/// The cause of a release whose task may have run.
+/// Cause of a release: an error after which the task may have run.
 const ERROR: u8 = 47;
 
-/// Guards machines against work that nobody waits for: what a client that has left had sent before is read at a measured
-/// pace where part of it cannot be used, and none of it may begin meanwhile.
+/// Guards machines against work that nobody waits for. Where a client has sent invalid messages, the planner
+/// reads the rest of its data at a limited rate; once the client has left, none of the requests in that data
+/// may start.
 #[test]
-fn nothing_begins_for_a_client_that_left_behind_a_flood() {
+fn no_request_of_a_departed_client_starts_after_a_flood() {
     let (machine, address) = listener();
     let planner = Planner::start(&[address], None, Some("maxOpenJobs: 10"));
     let mut link = accept(&machine);
@@ -37,7 +40,7 @@
         }
         close(client);
     });
-    // All six have been heard, and given up, once none of them is open.
+    // Wait until all six requests have been read and cancelled.
     let mut rest = Wire::connect(&planner.rest);
     let since = Instant::now();
     loop {
@@ -50,15 +53,20 @@
     }
     let mut other = Wire::connect(&planner.owners);
     other.send(&set_up(7, "stateless", 8000, "x"));
-    assert_eq!(told(&link.line().expect("a set-up")), ("launch".into(), 7), "the first that is written");
+    assert_eq!(
+        kind_and_task(&link.line().expect("a set-up")),
+        ("launch".into(), 7),
+        "the first request that reaches the machine"
+    );
 }
 
-/// Guards clients that give a request up while its attempt cannot be written: it does not begin later.
+/// Guards clients that cancel a request while its machine is still being dialled: the request must not start
+/// later.
 #[test]
-fn what_is_given_up_while_its_machine_is_dialled_is_not_sent() {
+fn a_request_cancelled_while_its_machine_is_dialled_is_not_sent() {
     for way in ["cancel", "close", "half-close"] {
         let dial_s = json!(5.0);
-        let (machine, address) = short_box();
+        let (machine, address) = short_backlog_listener();
         let mut full = fill(&address);
         let mut settings = settings();
         settings["permissions"]["dial_timeout_s"] = dial_s;
@@ -69,7 +77,7 @@
         let (mut client, mut other) = (Wire::connect(&planner.owners), Wire::connect(&planner.owners));
         client.send(&set_up(1, "stateless", 8000, "x"));
         client.send(&test(99));
-        client.frame().expect("it has heard the set-up");
+        client.frame().expect("the set-up was read");
         match way {
             "cancel" => client.send(&give_up(1)),
             "close" => client.stream.shutdown(Shutdown::Both).expect("closed"),
@@ -77,13 +85,13 @@
         }
         if way == "cancel" {
             client.send(&test(98));
-            client.frame().expect("it has heard the give-up");
+            client.frame().expect("the cancellation was read");
         } else {
             let mut one = [0];
             while !matches!(client.stream.read(&mut one), Ok(0)) {}
         }
         other.send(&set_up(2, "stateless", 8000, "x"));
-        // The connection comes up late: the line moves on.
+        // Emptying the backlog lets the connection come up late.
         full.clear();
         let mut link = loop {
             let mut wire = Wire::new(machine.accept().expect("the planner connects").0.into());
@@ -92,14 +100,14 @@
                 break (wire, line);
             }
         };
-        assert_eq!(told(&link.1), ("launch".into(), 2), "{way}");
+        assert_eq!(kind_and_task(&link.1), ("launch".into(), 2), "{way}");
         link.0.send(&running(2));
         assert_eq!(answered(&mut other), Some((ANSWER, 2, None)));
     }
 }
 
-/// Guards what runs once against a connection that its machine closed as it is used: nothing was written on it, so that the
-/// attempt never ran and goes out on the next one.
+/// Guards requests of class `once` where the machine closes an idle connection just as the planner picks it.
+/// Nothing was written to it, so the attempt did not run and is sent on the next connection.
 #[test]
 fn a_connection_that_was_closed_as_idle_loses_no_request() {
     let (machine, address) = listener();
@@ -112,14 +120,14 @@
             close(link);
         });
         link = accept(&machine);
-        assert_eq!(told(&link.line().expect("a set-up")), ("launch".into(), task));
+        assert_eq!(kind_and_task(&link.line().expect("a set-up")), ("launch".into(), task));
         link.send(&running(task));
         assert_eq!(answered(&mut client), Some((ANSWER, task, None)));
     }
 }
 
-/// Guards what runs once against a machine's answer that is the last thing before its connection is reset, while another
-/// set-up is about to be written there.
+/// Guards requests of class `once` whose answer is the last message before their machine resets the
+/// connection, while the planner is about to write another set-up to it.
 #[test]
 fn an_answer_right_before_a_reset_counts() {
     let (machine, address) = listener();
@@ -129,10 +137,10 @@
     for round in 1..=ROUNDS {
         let (first, second) = (2 * round, 2 * round + 1);
         client.send(&set_up(first, "once", 8000, "x"));
-        // What is left of the round before comes ahead of it, and a link that was gone over from ends.
+        // Messages of the previous round come first, and a connection that the planner has replaced ends.
         loop {
-            match link.line().map(|line| told(&line)) {
-                Some(said) if said == ("launch".into(), first) => break,
+            match link.line().map(|line| kind_and_task(&line)) {
+                Some(message) if message == ("launch".into(), first) => break,
                 Some((_, task)) => assert_eq!(task, first - 1),
                 None => link = accept(&machine),
             }
@@ -145,20 +153,22 @@
         });
         link = accept(&machine);
         assert_eq!(answered(&mut client), Some((ANSWER, first, None)), "round {round}");
-        // Whether the other one left on the old connection is left to chance; nobody waits for it.
+        // Whether the second request was written to the old connection is random; cancel it.
         client.send(&give_up(second));
         client.send(&test(99));
         while answered(&mut client).expect("its test").0 != 53 {}
     }
 }
 
-/// Guards what a planner that is told to stop has taken: a pause of the process over the time in which it takes requests must
-/// not have it end before it has heard what came meanwhile, also on a connection that nobody accepted yet.
+/// Guards requests that arrive while a draining planner process is paused. The pause outlasts the period in
+/// which it accepts requests; it must still read what arrived meanwhile before it exits, also on a connection
+/// that it has not yet accepted.
 #[test]
 fn what_came_in_a_pause_of_a_planner_that_drains_is_answered() {
     let (machine, address) = listener();
-    // A planner may be killed by its settings' longest deadline: here it lives for the pause and what follows.
-    let mut config = knows(&[instance("b1", &address, "in_service")], None);
+    // A planner may be killed once the longest deadline of its settings has passed: 3 s cover the pause and
+    // the answers.
+    let mut config = config_with(&[instance("b1", &address, "in_service")], None);
     config["settings"]["grades"][0]["deadline_s"] = json!(3.0);
     let mut planner = Planner::start_with(config, None);
     let mut link = accept(&machine);
@@ -166,7 +176,7 @@
     client.send(&test(99));
     client.frame().expect("a passed test");
     planner.term();
-    // It drains once its test fails.
+    // The planner is draining once it answers tests with a failure.
     loop {
         client.send(&test(98));
         if client.frame().expect("a test")[2..].ends_with(&[17, 0, 1, 0]) {
@@ -177,12 +187,12 @@
         client.send(&set_up(1, "stateless", 8000, "x"));
         let mut late = Wire::connect(&planner.owners);
         late.send(&set_up(2, "stateless", 8000, "x"));
-        // Longer than it takes requests for after it was told.
+        // Longer than the planner accepts requests after SIGTERM.
         std::thread::sleep(Duration::from_millis(1200));
         late
     });
     for _ in 0..2 {
-        let (kind, task) = told(&link.line().expect("a set-up"));
+        let (kind, task) = kind_and_task(&link.line().expect("a set-up"));
         assert_eq!(kind, "launch");
         link.send(&running(task));
     }
@@ -191,12 +201,12 @@
     assert!(planner.child.wait().expect("it ends").success());
 }
 
-/// Guards a planner whose descriptors idle clients fill while the board is down: usual clients are served, the board is
-/// reached again, and the machines that it names are dialled.
+/// Guards a planner whose file descriptors are exhausted by idle clients while the discovery service is down:
+/// it still serves ordinary clients, reconnects to discovery, and dials the machines that discovery lists.
 #[test]
 fn idle_clients_keep_neither_board_nor_machines_out() {
     const SOCKETS: u32 = 64;
-    // Its address is taken, and nobody listens there.
+    // The address is bound, but not listening.
     let down = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
     down.bind(&any.into()).expect("a place");
@@ -211,26 +221,26 @@
     let config = json!({"listen": "127.0.0.1:0", "board": at, "known": known, "limits": limits,
         "settings": settings()});
     let planner = Planner::start_with(config, None);
-    let crowd: Vec<Wire> = (0..200).map(|_| Wire::connect(&planner.owners)).collect();
-    down.listen(16).expect("the board is back");
+    let idle_clients: Vec<Wire> = (0..200).map(|_| Wire::connect(&planner.owners)).collect();
+    down.listen(16).expect("discovery is back");
     let board = TcpListener::from(down);
     let mut watch = accept(&board);
     assert_eq!(watch.line().expect("watch N"), b"watch 1\n");
     watch.send(&event(2, &[named(0..30, "terminating"), named(30..31, "in_service")].concat()));
-    // The crowd comes again as it is closed.
+    // More idle clients connect as the first ones are closed.
     let again: Vec<Wire> = (0..200).map(|_| Wire::connect(&planner.owners)).collect();
     let mut client = Wire::connect(&planner.owners);
     client.send(&test(99));
     assert_eq!(client.frame().expect("a passed test")[2], 53);
     client.send(&set_up(1, "stateless", 8000, "x"));
     let mut link = accept(&machines[30].0);
-    assert_eq!(told(&link.line().expect("a set-up")), ("launch".into(), 1));
+    assert_eq!(kind_and_task(&link.line().expect("a set-up")), ("launch".into(), 1));
     link.send(&running(1));
     assert_eq!(answered(&mut client), Some((ANSWER, 1, None)));
-    drop((crowd, again, watch));
+    drop((idle_clients, again, watch));
 }
 
-/// Guards owners against answers that come twice, and after what they answered is over: one final answer, one release.
+/// Guards owners against duplicate and late messages of a machine: each task has one answer and one release.
 #[test]
 fn a_second_answer_changes_nothing() {
     let (machine, address) = listener();
@@ -243,24 +253,24 @@
     assert_eq!(answered(&mut client), Some((ANSWER, 1, None)));
     link.send(&[running(1), stop(1, 16), stop(1, 16), running(1)].concat());
     assert_eq!(answered(&mut client), Some((RELEASE, 1, Some(16))));
-    // Its machine's connection is as good as before, and the client hears of nothing else.
+    // The machine's connection is still in use, and the client receives nothing else.
     client.send(&set_up(2, "keyed", 8000, "x"));
-    assert_eq!(told(&link.line().expect("a set-up")), ("launch".into(), 2));
+    assert_eq!(kind_and_task(&link.line().expect("a set-up")), ("launch".into(), 2));
     link.send(&running(2));
     assert_eq!(answered(&mut client), Some((ANSWER, 2, None)));
 }
 
-/// Guards machines and owners where a client gives up at the very moment at which its machine says yes: whichever is heard
-/// first, the task is ended at its machine, once, and the client has one answer at the most.
+/// Guards machines and owners where a client cancels just as the machine accepts the task. Whichever message
+/// is read first, the task is stopped at its machine once, and the client receives at most one answer.
 #[test]
-fn a_give_up_that_crosses_the_yes_ends_the_task() {
+fn a_cancellation_that_crosses_the_acceptance_stops_the_task() {
     let (machine, address) = listener();
     let planner = Planner::start(&[address], None, None);
     let mut link = accept(&machine);
     let mut client = Wire::connect(&planner.owners);
     for task in 1..=ROUNDS {
         client.send(&set_up(task, "stateless", 8000, "x"));
-        assert_eq!(told(&link.line().expect("a set-up")), ("launch".into(), task));
+        assert_eq!(kind_and_task(&link.line().expect("a set-up")), ("launch".into(), task));
         planner.paused(|| {
             if task % 2 == 0 {
                 link.send(&running(task));
@@ -270,7 +280,7 @@
                 link.send(&running(task));
             }
         });
-        assert_eq!(told(&link.line().expect("a word")), ("stop".into(), task));
+        assert_eq!(kind_and_task(&link.line().expect("a message")), ("stop".into(), task));
         client.send(&test(99));
         let mut answers = 0;
         while let Some((kind, of, _)) = answered(&mut client).filter(|(kind, ..)| *kind != 53) {
@@ -281,12 +291,13 @@
     }
 }
 
-/// Guards requests on a connection of which nothing more can be heard: each that was taken has its answer before it is closed.
+/// Guards requests on a connection that becomes unreadable after invalid data: each accepted one is answered
+/// before the planner closes the connection.
 #[test]
-fn what_was_asked_before_a_spoilt_message_is_answered() {
+fn requests_before_an_invalid_message_are_answered() {
     let bad = unescape("\\x00\\x09\\x01\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\x63");
     let half = set_up(2, "stateless", 8000, "x");
-    for (what, spoilt) in [
+    for (what, invalid) in [
         ("a frame", vec![0, 3, 1, 2, 3]),
         ("too many", bad.repeat(16)),
         ("half a message", half[..20].to_vec()),
@@ -296,19 +307,24 @@
         let mut link = accept(&machine);
         let mut client = Wire::connect(&planner.owners);
         client.send(&set_up(1, "stateless", 8000, "x"));
-        assert_eq!(told(&link.line().expect("a set-up")), ("launch".into(), 1));
-        client.send(&spoilt);
+        assert_eq!(kind_and_task(&link.line().expect("a set-up")), ("launch".into(), 1));
+        client.send(&invalid);
         let mut all = Vec::new();
         while let Some(answer) = answered(&mut client) {
             all.push(answer);
         }
         let of_first: Vec<_> = all.iter().filter(|(_, task, _)| *task == 1).collect();
         assert_eq!(of_first, [&(RELEASE, 1, Some(ERROR))], "{what}: {all:?}");
-        assert_eq!(told(&link.line().expect("a word")), ("stop".into(), 1), "{what}: it is given up");
+        assert_eq!(
+            kind_and_task(&link.line().expect("a message")),
+            ("stop".into(), 1),
+            "{what}: the attempt is cancelled"
+        );
     }
 }
 
-/// Guards the list against a board that writes and never ends a line: that is silence, too.
+/// Guards the machine list against a discovery service that keeps writing bytes without ending a line: this
+/// counts as silence.
 #[test]
 fn a_board_that_never_ends_its_line_is_dialled_anew() {
     let (board, at) = listener();
@@ -316,19 +332,19 @@
     let mut first = accept(&board);
     assert_eq!(first.line().expect("watch N"), b"watch 1\n");
     let again = std::thread::spawn(move || accept(&board).line());
-    // Far oftener than a board writes its lines; the last of it fails, or is read by nobody.
+    // Much more often than discovery writes its lines; the last writes fail or are never read.
     first.stream.set_read_timeout(Some(Duration::from_millis(50))).expect("a time-out");
     let since = Instant::now();
     while !again.is_finished() {
         let _ = first.stream.write_all(b" ");
         let _ = first.stream.read(&mut [0]);
-        assert!(since.elapsed() < PATIENCE, "it is taken to be alive");
+        assert!(since.elapsed() < HANG_TIMEOUT, "the connection is still considered live");
     }
-    assert_eq!(again.join().expect("it is dialled").expect("watch N"), b"watch 1\n");
+    assert_eq!(again.join().expect("no panic").expect("watch N"), b"watch 1\n");
 }
 
-/// Guards the list where the board moves while the old one is in the midst of an event: that part counts for nothing, and
-/// the new one is asked from the last whole event.
+/// Guards the machine list where a reload names another discovery address while the old one is sending an
+/// event. The partial event is dropped, and the new address is watched from the last complete event.
 #[test]
 fn a_board_that_moves_amid_an_event_is_asked_for_it_again() {
     let ((old, old_at), (new, new_at)) = (listener(), listener());
@@ -342,11 +358,11 @@
     planner.reload(Some(&new_at));
     let mut next = accept(&new);
     assert_eq!(next.line().expect("watch N"), b"watch 1\n");
-    // The old one is closed by then; what it still says is heard by nobody.
+    // The planner has closed the old connection and reads nothing more from it.
     assert_eq!(watch.line(), None);
     next.send(&whole);
     let mut link = accept(&second);
     let mut client = Wire::connect(&planner.owners);
     client.send(&set_up(1, "stateless", 8000, "x"));
-    assert_eq!(told(&link.line().expect("a set-up")), ("launch".into(), 1));
+    assert_eq!(kind_and_task(&link.line().expect("a set-up")), ("launch".into(), 1));
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -5,8 +5,9 @@
 use burlhook_lab::rigs::reload::{run, Options};
 use std::time::Duration;
 
-/// Guards every task over reloads: 400 asks a second through both fronts, a reload every 100 ms with good and bad files
-/// by turns; exactly one final answer each, no two attempts together, none past its limits.
+/// Guards tasks across reloads: 400 requests a second through both fronts, and a reload every 100 ms with
+/// good and bad files by turns. Each task has exactly one final answer, never two open attempts, and none
+/// beyond its limits.
 #[test]
 fn every_task_is_accounted_for_over_reloads() {
     let options = Options { span: Duration::from_secs(6), seed: 7, ..Options::default() };
@@ -16,17 +17,21 @@
     assert_eq!(report.verdict.broken, Vec::<String>::new());
     assert!(
         report.verdict.asks > 1000 && report.verdict.most_attempts >= 2,
-        "faults were met: {:?}",
+        "too few faults occurred: {:?}",
         report.verdict
     );
-    // Whoever a limit turned away was told when to come back, and at once.
-    let turned = tally.count(End::TurnedAway);
-    assert!(turned > 0 && tally.told_when == turned, "{turned} turned away, {} told when", tally.told_when);
+    // A client that a limit rejects is given a retry time, at once.
+    let rejected = tally.count(End::TurnedAway);
+    assert!(
+        rejected > 0 && tally.told_when == rejected,
+        "{rejected} rejected, {} of them with a retry time",
+        tally.told_when
+    );
     assert!(report.reloads > 20, "{} reloads", report.reloads);
     let generation = report.in_force["generation"].as_u64().expect("a number");
     assert!(
         generation > 5 && generation < report.reloads,
-        "good files were taken, bad ones refused: {generation}"
+        "good files must be applied and bad ones refused: generation {generation}"
     );
     assert!(report.in_force["lastRefusal"]["faults"][0].is_string(), "{}", report.in_force);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, each at its edge, and the ordinary path.
+//! The placer's five rules, each at its boundary, and the ordinary path.
 
 mod common;
 use burlhook::*;
@@ -25,7 +25,7 @@
         count[binds(&rig.submit(2.0, n, task(n, 7.0)))[0] as usize] += 1;
     }
     assert!(count[0].abs_diff(count[1]) <= 2, "{count:?}");
-    // The view now shows machine 0 emptied by others, late enough to include all binds.
+    // The machine list now shows that others left machine 0, at a time by which it includes all binds.
     rig.list(9.0, &[entry(0, 10.0), entry(1, 4.0)]);
     assert_eq!(binds(&rig.submit(9.1, 20, task(20, 15.0))), [0]);
 }
@@ -55,15 +55,16 @@
     let after = rig.end(2.02, 1, 0, Outcome::Full, Reason::NoCores);
     assert!(binds(&after).is_empty());
     let wake = after.iter().find_map(|a| if let Action::SetTimer { at } = a { Some(*at) } else { None });
-    let wake = wake.expect("a timer for the end of the pause");
+    let wake = wake.expect("a timer for the end of the back-off");
     assert!(wake > 2.02);
     let again = binds(&rig.feed(2.2, Event::Timer));
-    assert_eq!(again, [1 - first], "the machine that refused is full for that shape");
+    assert_eq!(again, [1 - first], "the machine that refused counts as full for tasks of that size");
 }
 
-/// Guards machines against an ask that none can serve: each in turn would be barred for it, and usual asks with it.
+/// Guards against a request that fails on every machine: each machine in turn would be barred because of it,
+/// and ordinary requests would find no machine.
 #[test]
-fn an_ask_that_errs_everywhere_bars_no_machine() {
+fn a_request_that_fails_on_every_machine_bars_none() {
     let fleet = [entry(0, 10.0), entry(1, 5.0), entry(2, 4.0), entry(3, 1.0)];
     for errors in [1, 2, 4] {
         let mut rig = Rig::new(settings(Effect::Repeatable), &fleet);
@@ -135,8 +136,8 @@
         let note = Event::Noted { request: RequestId(n), attempt: 0, note: Note::Runs };
         sent += binds(&rig.feed(now + 0.05, note)).len();
     }
-    assert_eq!(sent, 2, "half of five, less the reserve");
-    // A window later there is room for more.
+    assert_eq!(sent, 2, "half of the budget of five, less the reserve");
+    // After one window the budget allows more.
     assert!(!binds(&rig.feed(9.0, Event::Timer)).is_empty());
 }
 
@@ -148,13 +149,13 @@
     let resident = Event::Resident { request: RequestId(1), task: task(9, 50.0), machine: MachineId(0) };
     rig.feed(1.5, resident);
     assert_eq!(binds(&rig.submit(2.0, 2, task(9, 7.0))).len(), 1);
-    assert!(binds(&rig.submit(2.0, 3, task(9, 7.0))).is_empty(), "the cell has two");
+    assert!(binds(&rig.submit(2.0, 3, task(9, 7.0))).is_empty(), "the cell already has two");
     let after = rig.end(2.5, 1, 0, Outcome::Ok, Reason::Unknown);
-    assert_eq!(binds(&after).len(), 1, "an end makes room");
+    assert_eq!(binds(&after).len(), 1, "a task that ends makes room");
 }
 
 #[test]
-fn attempts_stay_within_the_most() {
+fn attempts_stay_within_the_maximum() {
     let mut wanted = settings(Effect::Repeatable);
     wanted.max_attempts = 2;
     let mut rig = Rig::new(wanted, &[entry(0, 8.0), entry(1, 8.0), entry(2, 8.0)]);
@@ -176,7 +177,7 @@
         rig.feed(now, Event::List { kind: ListKind::Failed, entries: vec![] });
         while !rig.feed(now, Event::Timer).contains(&Action::Subscribe) {
             now += 0.05;
-            assert!(now < failed_at + 5.0, "asks again well inside ten seconds");
+            assert!(now < failed_at + 5.0, "subscribes again within five seconds");
         }
     }
 }
@@ -218,18 +219,22 @@
     rig.feed(2.1, Event::Bound { request: RequestId(1), attempt: 0, took_s: 0.1 });
     rig.end(2.2, 1, 0, Outcome::Lost, Reason::SentAway);
     assert_eq!(binds(&rig.submit(2.4, 2, task(2, 7.0))), [1]);
-    assert_eq!(binds(&rig.submit(12.5, 3, task(3, 17.0))), [0], "for a few own tasks only");
+    assert_eq!(
+        binds(&rig.submit(12.5, 3, task(3, 17.0))),
+        [0],
+        "the bar lasts only as long as a few own tasks"
+    );
 }
 
 #[test]
-fn no_view_hides_own_tasks() {
+fn own_tasks_count_though_the_list_does_not_show_them() {
     let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 10.0)]);
     for n in 0..9 {
         let resident = Event::Resident { request: RequestId(n), task: task(n, 50.0), machine: MachineId(0) };
         rig.feed(1.5, resident);
     }
     assert_eq!(binds(&rig.submit(2.0, 20, task(20, 7.0))), [0]);
-    assert!(binds(&rig.submit(2.0, 21, task(21, 7.0))).is_empty(), "ten cores are taken");
+    assert!(binds(&rig.submit(2.0, 21, task(21, 7.0))).is_empty(), "all ten cores are in use");
 }
 
 #[test]
@@ -259,7 +264,7 @@
         }
         now += 0.25;
     }
-    assert!((2..=6).contains(&tried), "tried now and then, {tried} times in forty tasks");
+    assert!((2..=6).contains(&tried), "retried occasionally: {tried} times in forty tasks");
     let other = Task { class: 1, ..task(99, now + 5.0) };
     assert_eq!(binds(&rig.submit(now, 99, other)), [0]);
 }
@@ -271,8 +276,12 @@
     rig.end(3.0, 1, 0, Outcome::TimedOut, Reason::Unknown);
     let answer = || Event::Probed { machine: MachineId(0), outcome: Outcome::Ok, report: None };
     rig.feed(3.1, answer());
-    assert_eq!(binds(&rig.submit(3.2, 2, task(2, 8.0))), [1], "the bar holds in spite of the probe");
+    assert_eq!(
+        binds(&rig.submit(3.2, 2, task(2, 8.0))),
+        [1],
+        "the machine stays barred in spite of the answered probe"
+    );
     rig.feed(12.5, answer());
-    assert_eq!(binds(&rig.submit(12.6, 3, task(3, 17.0))), [0], "one task tries it");
+    assert_eq!(binds(&rig.submit(12.6, 3, task(3, 17.0))), [0], "one task tests the machine");
     assert_eq!(binds(&rig.submit(12.6, 4, task(4, 17.0))), [1]);
 }
--- a/tests/shim/faults.c
+++ b/tests/shim/faults.c
@@ -1,7 +1,7 @@
-/* Loaded into a planner (LD_PRELOAD): system calls on sockets fail now and then as Linux documents, and reads and writes
-   are short. FAULTS_SEED seeds the draws; one call in FAULTS_ONE_IN fails, one in FAULTS_SHORT_ONE_IN is short, and none
-   where it is 0. Connections that the planner opened may die for good, too. The wall clock steps by FAULTS_STEP_MS once
-   FAULTS_STEP_AFTER_MS have passed. */
+/* Fault injector, loaded into a planner with LD_PRELOAD: system calls on sockets sometimes fail with errors that Linux
+   documents, and reads and writes are sometimes short. FAULTS_SEED seeds the random numbers; one call in FAULTS_ONE_IN
+   fails and one read or write in FAULTS_SHORT_ONE_IN is short, none where the figure is 0. Connections that the planner
+   opened may also fail for good. The wall clock steps by FAULTS_STEP_MS once FAULTS_STEP_AFTER_MS have passed. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -17,9 +17,9 @@
 static uint64_t one_in, short_one_in;
 static int64_t step_ms, step_after_ms, started_ms;
 
-/* Whether the planner opened a connection, by its descriptor. */
-enum { MOST_DESCRIPTORS = 65536 };
-static char opened[MOST_DESCRIPTORS];
+/* By descriptor: whether it is a connection that the planner opened. */
+enum { MAX_DESCRIPTORS = 65536 };
+static char opened[MAX_DESCRIPTORS];
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
@@ -51,7 +51,7 @@
     started_ms = steady_ms();
 }
 
-/* A xorshift step; the planner has one thread that does I/O. */
+/* One xorshift step. It needs no lock, as a planner does I/O on one thread. */
 static uint64_t draw(void) {
     state ^= state << 13;
     state ^= state >> 7;
@@ -63,10 +63,10 @@
 
 static int is_short(void) { return short_one_in && draw() % short_one_in == 0; }
 
-/* One failing read in so many is the death of a connection that the planner opened. */
-enum { DIES_ONE_IN = 4 };
+/* On a connection that the planner opened, one failing read in this many fails for good. */
+enum { FATAL_ONE_IN = 4 };
 
-static int dies(int fd) { return fd < MOST_DESCRIPTORS && opened[fd] && draw() % DIES_ONE_IN == 0; }
+static int is_fatal(int fd) { return fd < MAX_DESCRIPTORS && opened[fd] && draw() % FATAL_ONE_IN == 0; }
 
 static int fail_with(const int *codes, int count) {
     errno = codes[draw() % count];
@@ -84,15 +84,15 @@
 }
 
 static const int READ_ERRORS[] = {EINTR, EINTR, ENOMEM, ENOBUFS};
-/* Not ECONNRESET: Linux gives it where the far end has dropped the connection, which it has not. */
-static const int DEATHS[] = {ETIMEDOUT, EHOSTUNREACH};
+/* Not ECONNRESET: Linux returns it only where the peer has dropped the connection, and here the peer has not. */
+static const int FATAL_ERRORS[] = {ETIMEDOUT, EHOSTUNREACH};
 static const int WRITE_ERRORS[] = {EINTR, EINTR, ENOBUFS, ENOMEM};
 static const int ACCEPT_ERRORS[] = {ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EINTR};
 static const int CONNECT_ERRORS[] = {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, EINTR};
 
 ssize_t recv(int fd, void *bytes, size_t count, int flags) {
     if (is_stream(fd) && fails())
-        return dies(fd) ? fail_with(DEATHS, 2) : fail_with(READ_ERRORS, 4);
+        return is_fatal(fd) ? fail_with(FATAL_ERRORS, 2) : fail_with(READ_ERRORS, 4);
     if (is_stream(fd) && count > 1 && is_short())
         count = 1 + draw() % (count < 64 ? count - 1 : 64);
     return REAL(recv)(fd, bytes, count, flags);
@@ -100,7 +100,7 @@
 
 ssize_t read(int fd, void *bytes, size_t count) {
     if (is_stream(fd) && fails())
-        return dies(fd) ? fail_with(DEATHS, 2) : fail_with(READ_ERRORS, 4);
+        return is_fatal(fd) ? fail_with(FATAL_ERRORS, 2) : fail_with(READ_ERRORS, 4);
     if (is_stream(fd) && count > 1 && is_short())
         count = 1 + draw() % (count < 64 ? count - 1 : 64);
     return REAL(read)(fd, bytes, count);
@@ -128,7 +128,7 @@
     if (is_stream(fd) && fails())
         return fail_with(ACCEPT_ERRORS, 6);
     int accepted = REAL(accept4)(fd, address, length, flags);
-    if (accepted >= 0 && accepted < MOST_DESCRIPTORS)
+    if (accepted >= 0 && accepted < MAX_DESCRIPTORS)
         opened[accepted] = 0;
     return accepted;
 }
@@ -136,7 +136,7 @@
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     if (is_stream(fd) && fails())
         return fail_with(CONNECT_ERRORS, 5);
-    if (fd < MOST_DESCRIPTORS)
+    if (fd < MAX_DESCRIPTORS)
         opened[fd] = 1;
     return REAL(connect)(fd, address, length);
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! A planner that is told to stop while clients go on sending on their open connections, up to the earliest SIGKILL.
+//! A planner that receives SIGTERM while clients go on sending on open connections, until the earliest
+//! permitted SIGKILL.
 
 mod exchange;
 
@@ -10,24 +11,24 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// Seconds. The longest deadline of the settings here.
+/// Seconds. The longest deadline in the settings of these tests.
 const DEADLINE_S: f64 = 1.0;
-/// So long after SIGTERM a SIGKILL may come: the longest deadline and 0.7 s more.
+/// A SIGKILL may follow SIGTERM after this time: the longest deadline and 0.7 s more.
 const EARLIEST_KILL: Duration = Duration::from_millis(1700);
-/// Between two requests of a client.
-const PACE: Duration = Duration::from_millis(15);
+/// The interval between two requests of a client.
+const SEND_INTERVAL: Duration = Duration::from_millis(15);
 
-/// What became of the requests on one connection.
-struct Told {
+/// The requests sent on one connection, and the answers.
+struct RequestRecord {
     sent: BTreeSet<u64>,
     answered: BTreeSet<u64>,
-    /// The connection ended with a request that nobody read.
+    /// The connection ended with a reset: the planner did not read the last request.
     was_reset: bool,
 }
 
-impl Told {
-    /// Books the next answer, and all that came with it.
-    fn hear(&mut self, client: &mut Wire) {
+impl RequestRecord {
+    /// Records the next answer, and all others that have been received with it.
+    fn record_answers(&mut self, client: &mut Wire) {
         loop {
             if let Some((ANSWER | RELEASE, task, _)) = answered(client) {
                 self.answered.insert(task);
@@ -39,34 +40,34 @@
     }
 }
 
-/// Sends requests until the connection ends; each is sent only while no end of the connection is known.
-fn send_until_the_end(mut client: Wire, first: u64, wait_ms: u32) -> Told {
-    let mut told = Told { sent: BTreeSet::new(), answered: BTreeSet::new(), was_reset: false };
+/// Sends requests until the connection ends; no request is sent after its end was seen.
+fn send_until_the_end(mut client: Wire, first: u64, wait_ms: u32) -> RequestRecord {
+    let mut record = RequestRecord { sent: BTreeSet::new(), answered: BTreeSet::new(), was_reset: false };
     for task in first.. {
         if client.stream.write_all(&set_up(task, "stateless", wait_ms, "x")).is_err() {
-            told.was_reset = true;
-            return told;
+            record.was_reset = true;
+            return record;
         }
-        told.sent.insert(task);
+        record.sent.insert(task);
         let since = Instant::now();
-        while since.elapsed() < PACE {
-            client.stream.set_read_timeout(Some(PACE)).expect("a time-out");
+        while since.elapsed() < SEND_INTERVAL {
+            client.stream.set_read_timeout(Some(SEND_INTERVAL)).expect("a time-out");
             match client.stream.peek(&mut [0]) {
-                Ok(0) => return told,
-                Ok(_) => told.hear(&mut client),
+                Ok(0) => return record,
+                Ok(_) => record.record_answers(&mut client),
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => {
-                    told.was_reset = true;
-                    return told;
+                    record.was_reset = true;
+                    return record;
                 }
                 Err(_) => {}
             }
         }
     }
-    told
+    record
 }
 
-/// A machine that takes everything and says nothing.
-fn silent_machine(machine: TcpListener) {
+/// A machine that accepts connections and never answers.
+fn accept_without_answering(machine: TcpListener) {
     std::thread::spawn(move || {
         let mut links = Vec::new();
         while let Ok((stream, _)) = machine.accept() {
@@ -76,16 +77,17 @@
 }
 
 fn config(address: &str) -> Value {
-    let mut config = exchange::knows(&[exchange::instance("b1", address, "in_service")], None);
+    let mut config = exchange::config_with(&[exchange::instance("b1", address, "in_service")], None);
     for class in config["settings"]["grades"].as_array_mut().expect("classes") {
         class["deadline_s"] = json!(DEADLINE_S);
     }
     config
 }
 
-/// Returns once the planner's process has ended, or kills it when it may be killed; tells whether it ended by itself.
-fn ends_before_the_kill(planner: &mut Planner, told_at: Instant) -> bool {
-    while told_at.elapsed() < EARLIEST_KILL {
+/// Waits for the planner's process to exit, and kills it at the earliest permitted time; returns whether it
+/// exited by itself.
+fn exits_before_the_kill(planner: &mut Planner, term_at: Instant) -> bool {
+    while term_at.elapsed() < EARLIEST_KILL {
         if planner.child.try_wait().expect("its state").is_some() {
             return true;
         }
@@ -95,14 +97,15 @@
     false
 }
 
-/// Guards clients that send on open connections for as long as a planner that stops may live: each request that it took has
-/// its answer before the earliest SIGKILL, also one that waits far longer; only one that nobody read may go without.
+/// Guards clients that send on open connections until a stopping planner exits: each request that it read is
+/// answered before the earliest SIGKILL, also one with a much longer deadline; only a request that was never
+/// read may have no answer.
 #[test]
-fn what_comes_on_open_connections_until_the_earliest_kill_is_answered() {
+fn requests_on_open_connections_until_the_earliest_kill_are_answered() {
     for wait_ms in [1000, 8000] {
         let (machine, address) = listener();
         let mut planner = Planner::start_with(config(&address), None);
-        silent_machine(machine);
+        accept_without_answering(machine);
         let clients: Vec<_> = (1..=3)
             .map(|number| {
                 let mut client = Wire::connect(&planner.owners);
@@ -113,26 +116,26 @@
             .collect();
         let term_at = Instant::now();
         planner.term();
-        let ended = ends_before_the_kill(&mut planner, term_at);
+        let ended = exits_before_the_kill(&mut planner, term_at);
         assert!(ended, "it was killed with clients waiting ({wait_ms} ms)");
         for client in clients {
-            let told = client.join().expect("a client");
-            let mut unanswered: Vec<u64> = told.sent.difference(&told.answered).copied().collect();
-            if told.was_reset && unanswered.last() == told.sent.last() {
+            let record = client.join().expect("a client");
+            let mut unanswered: Vec<u64> = record.sent.difference(&record.answered).copied().collect();
+            if record.was_reset && unanswered.last() == record.sent.last() {
                 unanswered.pop();
             }
             assert!(
                 unanswered.is_empty(),
                 "{} of {} unanswered ({wait_ms} ms)",
                 unanswered.len(),
-                told.sent.len()
+                record.sent.len()
             );
         }
     }
 }
 
-/// Guards clients against signals in series: an interrupt that comes while the planner stops has it answer what it took at
-/// once, and not leave it.
+/// Guards clients against a second signal: a SIGINT that arrives while the planner stops makes it answer open
+/// requests at once, and not drop them.
 #[test]
 fn an_interrupt_of_a_planner_that_stops_loses_no_request() {
     let (machine, address) = listener();
@@ -147,8 +150,8 @@
     assert!(planner.child.wait().expect("it ends").success());
 }
 
-/// Guards clients that connect while a planner stops: it takes no new connections any more well before it ends, and none
-/// is left in the line of those that nobody accepted.
+/// Guards clients that connect while a planner stops: it refuses new connections well before it exits, and
+/// leaves none in the backlog of its listener.
 #[test]
 fn a_planner_that_stops_refuses_new_connections_before_it_ends() {
     let (machine, address) = listener();
@@ -161,11 +164,11 @@
     let mut all = Vec::new();
     while let Ok(stream) = std::net::TcpStream::connect(&planner.owners) {
         all.push(Wire::new(stream));
-        std::thread::sleep(PACE);
+        std::thread::sleep(SEND_INTERVAL);
     }
     client.stream.set_nonblocking(true).expect("it is set");
     let answer = client.stream.peek(&mut [0]).map_err(|error| error.kind());
-    assert_eq!(answer, Err(ErrorKind::WouldBlock), "the planner is there for what it took");
+    assert_eq!(answer, Err(ErrorKind::WouldBlock), "the planner still serves its open request");
     client.stream.set_nonblocking(false).expect("it is set");
     assert!(matches!(answered(&mut client), Some((RELEASE, 1, _))), "it has an answer");
     assert!(planner.child.wait().expect("it ends").success());
--- a/tests/soak/ledger.rs
+++ b/tests/soak/ledger.rs
@@ -1,20 +1,20 @@
-//! What clients and machines saw of each request, and the rules that it is held against.
+//! Records what clients and machines saw of each request, and checks the protocol's rules on it.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Seconds on the clock of a run.
+/// Seconds since the start of a run.
 pub type Seconds = f64;
 
-/// Seconds. By so much each time may be off: the protocol's slack.
+/// Seconds. The tolerance that the protocol allows on each time.
 const SLACK_S: Seconds = 0.05;
-/// Seconds. After its time a request may still be answered for so long.
-const LATE_S: Seconds = 0.5;
-/// Seconds. An attempt may begin so long after its client gave up.
-const BEGINS_S: Seconds = 0.1;
-/// Seconds. By so much the time passed to a machine may exceed what the client has left.
-const PASSED_S: Seconds = 0.15;
+/// Seconds. The time after its deadline within which a request may still be answered.
+const ANSWER_LATE_S: Seconds = 0.5;
+/// Seconds. The time after a client's cancellation within which an attempt may still begin.
+const BEGIN_LATE_S: Seconds = 0.1;
+/// Seconds. The amount by which the time limit passed to a machine may exceed the client's remaining time.
+const LIMIT_EXCESS_S: Seconds = 0.15;
 
 /// A request as its client saw it.
 #[derive(Clone, Debug, Default)]
@@ -22,9 +22,9 @@
     pub sent_at: Seconds,
     pub wait_s: Seconds,
     pub answers: Vec<Seconds>,
-    /// When its client cancelled it or closed its connection.
+    /// Time at which its client cancelled it or closed the connection.
     pub given_up_at: Option<Seconds>,
-    /// Its planner was killed without a warning, or never read it.
+    /// Needs no answer, as its planner was killed without a SIGTERM or did not read it.
     pub is_excused: bool,
 }
 
@@ -39,77 +39,78 @@
 }
 
 #[derive(Default)]
-struct Books {
+struct Records {
     requests: BTreeMap<u64, Request>,
     copies: Vec<Copy>,
 }
 
-/// The books of one run.
+/// All requests and copies of one run.
 pub struct Ledger {
     start: Instant,
-    books: Mutex<Books>,
+    records: Mutex<Records>,
 }
 
 impl Ledger {
     pub fn new() -> Ledger {
-        Ledger { start: Instant::now(), books: Mutex::default() }
+        Ledger { start: Instant::now(), records: Mutex::default() }
     }
 
     pub fn now(&self) -> Seconds {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// A client is about to send a request.
-    pub fn sends(&self, task: u64, wait_s: Seconds) {
+    /// Records a request that a client is about to send.
+    pub fn request_sent(&self, task: u64, wait_s: Seconds) {
         let request = Request { sent_at: self.now(), wait_s, ..Request::default() };
-        self.books.lock().expect("the books").requests.insert(task, request);
+        self.records.lock().expect("lock").requests.insert(task, request);
     }
 
-    /// Changes what is known of a request.
-    pub fn book(&self, task: u64, change: impl FnOnce(&mut Request, Seconds)) {
+    /// Updates the record of a request.
+    pub fn update_request(&self, task: u64, change: impl FnOnce(&mut Request, Seconds)) {
         let now = self.now();
-        if let Some(request) = self.books.lock().expect("the books").requests.get_mut(&task) {
+        if let Some(request) = self.records.lock().expect("lock").requests.get_mut(&task) {
             change(request, now);
         }
     }
 
-    /// A copy came whole to a machine at that time, with so much time passed on; gives its number.
+    /// Records a complete copy that arrived at a machine, with its arrival time and the time limit passed on;
+    /// returns its index.
     pub fn arrived(&self, task: u64, machine: usize, (arrived_at, left_s): (Seconds, Seconds)) -> usize {
         let copy = Copy { task, machine, arrived_at, left_s, over_at: None };
-        let mut books = self.books.lock().expect("the books");
-        books.copies.push(copy);
-        books.copies.len() - 1
+        let mut records = self.records.lock().expect("lock");
+        records.copies.push(copy);
+        records.copies.len() - 1
     }
 
-    /// A copy is over: its end is about to be written, or it is given up.
+    /// Records the end of a copy: the machine is about to report it, or the copy was cancelled.
     pub fn over(&self, copy: usize) {
         let now = self.now();
-        let mut books = self.books.lock().expect("the books");
-        books.copies[copy].over_at.get_or_insert(now);
+        let mut records = self.records.lock().expect("lock");
+        records.copies[copy].over_at.get_or_insert(now);
     }
 
-    /// Every broken rule, and how many requests there were.
-    pub fn judge(&self) -> (Vec<String>, usize) {
-        let books = self.books.lock().expect("the books");
+    /// Checks all rules; returns the violations and the number of requests.
+    pub fn check(&self) -> (Vec<String>, usize) {
+        let records = self.records.lock().expect("lock");
         let mut broken = Vec::new();
-        for (task, request) in &books.requests {
-            broken.extend(answers_kept(*task, request));
+        for (task, request) in &records.requests {
+            broken.extend(check_answers(*task, request));
         }
         let mut copies_of: BTreeMap<u64, Vec<&Copy>> = BTreeMap::new();
-        let mut copies = books.copies.clone();
+        let mut copies = records.copies.clone();
         copies.sort_by(|a, b| a.arrived_at.total_cmp(&b.arrived_at));
         for copy in &copies {
-            broken.extend(books.requests.get(&copy.task).and_then(|request| time_kept(request, copy)));
+            broken.extend(records.requests.get(&copy.task).and_then(|request| check_times(request, copy)));
             copies_of.entry(copy.task).or_default().push(copy);
         }
-        broken.extend(copies_of.values().flat_map(|copies| one_out(copies)));
-        (broken, books.requests.len())
+        broken.extend(copies_of.values().flat_map(|copies| check_overlaps(copies)));
+        (broken, records.requests.len())
     }
 }
 
-/// Each request has one answer, in time.
-fn answers_kept(task: u64, request: &Request) -> Option<String> {
-    let by = request.sent_at + request.wait_s + LATE_S + SLACK_S;
+/// Checks that each request has one answer, in time.
+fn check_answers(task: u64, request: &Request) -> Option<String> {
+    let by = request.sent_at + request.wait_s + ANSWER_LATE_S + SLACK_S;
     match request.answers[..] {
         [] if request.is_excused || request.given_up_at.is_some() => None,
         [] => Some(format!("lost: {task:x} has no answer: {request:?}")),
@@ -119,24 +120,25 @@
     }
 }
 
-/// No attempt begins after its client gave up, and none is told more time than its client has left.
-fn time_kept(request: &Request, copy: &Copy) -> Option<String> {
-    let begins_by = request.given_up_at.map_or(f64::INFINITY, |at| at + BEGINS_S + SLACK_S);
+/// Checks that no attempt begins after its client cancelled, nor gets a longer time limit than its client has
+/// left.
+fn check_times(request: &Request, copy: &Copy) -> Option<String> {
+    let begins_by = request.given_up_at.map_or(f64::INFINITY, |at| at + BEGIN_LATE_S + SLACK_S);
     if copy.arrived_at > begins_by {
-        return Some(format!("lost: an attempt began after its client gave up: {request:?}, {copy:?}"));
+        return Some(format!("lost: an attempt began after its client cancelled: {request:?}, {copy:?}"));
     }
     let left_s = request.sent_at + request.wait_s - copy.arrived_at;
-    let is_over = copy.left_s > left_s.max(0.0) + PASSED_S + SLACK_S;
-    is_over.then(|| format!("time: {:.3} s were passed on of {left_s:.3}: {copy:?}", copy.left_s))
+    let is_over = copy.left_s > left_s.max(0.0) + LIMIT_EXCESS_S + SLACK_S;
+    is_over.then(|| format!("time: {:.3} s were passed on with {left_s:.3} s left: {copy:?}", copy.left_s))
 }
 
-/// At most one copy of a request is out.
-fn one_out(copies: &[&Copy]) -> Vec<String> {
-    let beside = |pair: &[&Copy]| {
+/// Checks that at most one copy of a request is open at a time.
+fn check_overlaps(copies: &[&Copy]) -> Vec<String> {
+    let overlap = |pair: &[&Copy]| {
         let (first, second) = (pair[0], pair[1]);
-        let is_out = first.over_at.is_none_or(|over| over > second.arrived_at + SLACK_S);
+        let overlaps = first.over_at.is_none_or(|over| over > second.arrived_at + SLACK_S);
         let machines = (first.machine, second.machine);
-        is_out.then(|| format!("duplicate: {first:?} beside {second:?}, at {machines:?}"))
+        overlaps.then(|| format!("duplicate: {first:?} overlaps {second:?}, on machines {machines:?}"))
     };
-    copies.windows(2).filter_map(beside).collect()
+    copies.windows(2).filter_map(overlap).collect()
 }
--- a/tests/soak/list.rs
+++ b/tests/soak/list.rs
@@ -1,4 +1,4 @@
-//! The list of machines, which drains, ends and replaces them while it is watched.
+//! A stand-in discovery service that drains, ends and replaces machines while planners watch the list.
 
 use crate::exchange::instance;
 use crate::exchange::protocol::event;
@@ -15,7 +15,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Count. Machines that take work.
+/// Number of machines that accept work at a time.
 const MACHINES: usize = 6;
 
 #[derive(Default)]
@@ -25,7 +25,7 @@
     next_number: usize,
 }
 
-/// The list, shared by those who serve and change it.
+/// The machine list, shared by the threads that serve and change it.
 #[derive(Clone)]
 pub struct List {
     pub address: String,
@@ -44,20 +44,20 @@
 }
 
 impl List {
-    pub fn start(ledger: Arc<Ledger>, mut draws: Pcg64Mcg) -> List {
+    pub fn start(ledger: Arc<Ledger>, mut rng: Pcg64Mcg) -> List {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address").to_string();
         let list = List { address, state: Arc::default(), is_over: Arc::default() };
         for _ in 0..MACHINES {
-            list.add(&ledger, &mut draws, 0);
+            list.add(&ledger, &mut rng, 0);
         }
         let (serves, changes) = (list.clone(), list.clone());
         spawn(move || listener.incoming().flatten().for_each(|stream| serves.clone().serve(stream)));
-        spawn(move || changes.change(&ledger, draws));
+        spawn(move || changes.change(&ledger, rng));
         list
     }
 
-    /// All events so far, as a configuration has them.
+    /// All events so far, in the form of a planner's configuration.
     pub fn known(&self) -> Value {
         let events = &self.state.lock().expect("it").events;
         let notices: Vec<Value> =
@@ -71,17 +71,17 @@
         self.state.lock().expect("it").ready.iter().for_each(|(_, machine)| machine.end());
     }
 
-    fn tell(state: &mut State, entry: Value) {
+    fn publish(state: &mut State, entry: Value) {
         let line = event(state.events.len() as u64 + 1, &[entry]);
         state.events.push(line);
     }
 
-    fn add(&self, ledger: &Arc<Ledger>, draws: &mut Pcg64Mcg, started_ms: u64) {
+    fn add(&self, ledger: &Arc<Ledger>, rng: &mut Pcg64Mcg, started_ms: u64) {
         let mut state = self.state.lock().expect("it");
         state.next_number += 1;
         let number = state.next_number;
-        let machine = Machine::start(number, ledger.clone(), Pcg64Mcg::new(draws.gen()));
-        Self::tell(&mut state, entry(number, &machine, "in_service", started_ms));
+        let machine = Machine::start(number, ledger.clone(), Pcg64Mcg::new(rng.gen()));
+        Self::publish(&mut state, entry(number, &machine, "in_service", started_ms));
         state.ready.push((number, machine));
     }
 
@@ -92,10 +92,10 @@
             let _ = lines.read_line(&mut line);
             let mut sent: usize = line.trim().trim_start_matches("watch ").parse().unwrap_or(0);
             while !self.is_over.load(Ordering::SeqCst) {
-                let news: Vec<u8> =
+                let new_events: Vec<u8> =
                     self.state.lock().expect("it").events.iter().skip(sent).flatten().copied().collect();
-                sent = sent.max(self.state.lock().expect("it").events.len().min(sent + count(&news)));
-                if stream.write_all(&news).is_err()
+                sent = sent.max(self.state.lock().expect("it").events.len().min(sent + count(&new_events)));
+                if stream.write_all(&new_events).is_err()
                     || stream.write_all(format!("{sent}\n").as_bytes()).is_err()
                 {
                     return;
@@ -105,43 +105,43 @@
         });
     }
 
-    /// Drains, ends and replaces machines, and has some hang.
-    fn change(&self, ledger: &Arc<Ledger>, mut draws: Pcg64Mcg) {
+    /// Drains, ends and replaces machines at random, and makes some hang.
+    fn change(&self, ledger: &Arc<Ledger>, mut rng: Pcg64Mcg) {
         while !self.is_over.load(Ordering::SeqCst) {
-            sleep(Duration::from_millis(draws.gen_range(100..700)));
-            if draws.gen_bool(0.4) {
+            sleep(Duration::from_millis(rng.gen_range(100..700)));
+            if rng.gen_bool(0.4) {
                 let state = self.state.lock().expect("it");
-                if let Some((_, machine)) = state.ready.choose(&mut draws) {
-                    machine.hang(Duration::from_millis(draws.gen_range(50..900)));
+                if let Some((_, machine)) = state.ready.choose(&mut rng) {
+                    machine.hang(Duration::from_millis(rng.gen_range(50..900)));
                 }
                 continue;
             }
-            let taken = {
+            let retired = {
                 let mut state = self.state.lock().expect("it");
-                let at = draws.gen_range(0..state.ready.len());
+                let at = rng.gen_range(0..state.ready.len());
                 state.ready.swap_remove(at)
             };
-            self.add(ledger, &mut draws, unix_ms());
-            let (list, drain, life) = (
+            self.add(ledger, &mut rng, unix_ms());
+            let (list, drain, linger) = (
                 self.clone(),
-                Duration::from_millis(draws.gen_range(0..600)),
-                Duration::from_millis(draws.gen_range(0..1500)),
+                Duration::from_millis(rng.gen_range(0..600)),
+                Duration::from_millis(rng.gen_range(0..1500)),
             );
-            spawn(move || list.take_out(&taken, drain, life));
+            spawn(move || list.retire(&retired, drain, linger));
         }
     }
 
-    /// A machine drains, leaves the list, and goes on for a while.
-    fn take_out(&self, (number, machine): &(usize, Machine), drain: Duration, life: Duration) {
-        Self::tell(&mut self.state.lock().expect("it"), entry(*number, machine, "terminating", 0));
+    /// Drains a machine, removes it from the list, and ends it some time later.
+    fn retire(&self, (number, machine): &(usize, Machine), drain: Duration, linger: Duration) {
+        Self::publish(&mut self.state.lock().expect("it"), entry(*number, machine, "terminating", 0));
         sleep(drain);
-        Self::tell(&mut self.state.lock().expect("it"), entry(*number, machine, "terminated", 0));
-        sleep(life);
+        Self::publish(&mut self.state.lock().expect("it"), entry(*number, machine, "terminated", 0));
+        sleep(linger);
         machine.end();
     }
 }
 
-/// Count of lines.
+/// The number of lines.
 fn count(bytes: &[u8]) -> usize {
     bytes.iter().filter(|&&b| b == b'\n').count()
 }
--- a/tests/soak/machine.rs
+++ b/tests/soak/machine.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a machine, by the platform's protocol: most of what it does is drawn.
+//! A stand-in machine that speaks the platform protocol and reacts to set-ups at random.
 
-use crate::exchange::protocol::{running, stop, told};
+use crate::exchange::protocol::{kind_and_task, running, stop};
 use crate::ledger::{Ledger, Seconds};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -18,17 +18,17 @@
 const FULL: u8 = 34;
 /// Cause of a release: an error.
 const ERROR: u8 = 47;
-/// Cause of a release: the task came to its end.
-const OVER: u8 = 16;
+/// Cause of a release: the task has completed.
+const COMPLETED: u8 = 16;
 
-/// What a machine does with a set-up.
+/// A machine's reaction to a set-up.
 #[derive(Clone, Copy, Debug)]
-enum Deed {
-    /// The task runs after a while, and ends after another.
+enum Reaction {
+    /// The task starts after `after`, and completes `for_` later.
     Run { after: Duration, for_: Duration },
-    /// It is not taken.
-    Turn(u8),
-    /// Nothing is said.
+    /// The set-up is refused with this cause.
+    Refuse(u8),
+    /// The machine does not answer.
     Silence,
     /// The connection is reset.
     Reset,
@@ -36,42 +36,42 @@
     Close,
 }
 
-impl Deed {
-    fn draw(draws: &mut Pcg64Mcg) -> Deed {
-        let mut ms = |range| Duration::from_millis(draws.gen_range(range));
-        let (quick, slow, life) = (ms(0..30), ms(200..1500), ms(20..400));
-        match draws.gen_range(0..100) {
-            0..=59 => Deed::Run { after: quick, for_: life },
-            60..=69 => Deed::Turn(FULL),
-            70..=74 => Deed::Turn(ERROR),
-            75..=86 => Deed::Run { after: slow, for_: life },
-            87..=95 => Deed::Silence,
-            96..=97 => Deed::Reset,
-            _ => Deed::Close,
+impl Reaction {
+    fn draw(rng: &mut Pcg64Mcg) -> Reaction {
+        let mut ms = |range| Duration::from_millis(rng.gen_range(range));
+        let (short_delay, long_delay, run_time) = (ms(0..30), ms(200..1500), ms(20..400));
+        match rng.gen_range(0..100) {
+            0..=59 => Reaction::Run { after: short_delay, for_: run_time },
+            60..=69 => Reaction::Refuse(FULL),
+            70..=74 => Reaction::Refuse(ERROR),
+            75..=86 => Reaction::Run { after: long_delay, for_: run_time },
+            87..=95 => Reaction::Silence,
+            96..=97 => Reaction::Reset,
+            _ => Reaction::Close,
         }
     }
 }
 
-/// One connection, shared by those who write on it.
+/// One connection, shared by the threads that write to it.
 struct Connection {
     stream: TcpStream,
-    /// Copies that are out, by task; true once the task runs.
-    out: Mutex<BTreeMap<u64, (usize, bool)>>,
+    /// Open copies by task: the copy's index in the ledger, and whether the task runs.
+    open: Mutex<BTreeMap<u64, (usize, bool)>>,
 }
 
 impl Connection {
-    fn say(&self, bytes: &[u8]) -> bool {
+    fn write(&self, bytes: &[u8]) -> bool {
         (&self.stream).write_all(bytes).is_ok()
     }
 }
 
-/// A line, and when it had come whole.
+/// A line, and the time at which it was complete.
 struct Arrival {
     at: Seconds,
     line: Vec<u8>,
 }
 
-/// Reads lines as they come, until the connection ends.
+/// Reads lines as they arrive, until the connection ends.
 fn read_lines(ledger: &Ledger, stream: TcpStream, arrivals: &Sender<Arrival>) {
     let mut lines = BufReader::new(stream);
     loop {
@@ -83,7 +83,7 @@
     }
 }
 
-/// A machine that listens until it is ended.
+/// A machine that listens until `end` is called.
 #[derive(Clone)]
 pub struct Machine {
     number: usize,
@@ -95,7 +95,7 @@
 }
 
 impl Machine {
-    pub fn start(number: usize, ledger: Arc<Ledger>, draws: Pcg64Mcg) -> Machine {
+    pub fn start(number: usize, ledger: Arc<Ledger>, rng: Pcg64Mcg) -> Machine {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address").to_string();
         let machine = Machine {
@@ -107,14 +107,14 @@
             connections: Arc::default(),
         };
         let accepts = machine.clone();
-        spawn(move || accepts.accept(&listener, draws));
+        spawn(move || accepts.accept(&listener, rng));
         machine
     }
 
-    /// Its process ends: its connections are reset, and what it held is over.
+    /// Ends the machine as if its process had exited: its connections are reset, and its copies are over.
     pub fn end(&self) {
         self.is_ended.store(true, Ordering::SeqCst);
-        for connection in self.connections.lock().expect("them").drain(..) {
+        for connection in self.connections.lock().expect("lock").drain(..) {
             let _ = socket2::SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
             self.drop_all(&connection);
             let _ = connection.stream.shutdown(Shutdown::Both);
@@ -122,7 +122,7 @@
         let _ = TcpStream::connect(&self.address);
     }
 
-    /// It reads nothing for a while.
+    /// Makes the machine handle no messages for a while.
     pub fn hang(&self, time: Duration) {
         let hung = self.is_hung.clone();
         hung.store(true, Ordering::SeqCst);
@@ -132,21 +132,21 @@
         });
     }
 
-    fn accept(&self, listener: &TcpListener, mut draws: Pcg64Mcg) {
+    fn accept(&self, listener: &TcpListener, mut rng: Pcg64Mcg) {
         for stream in listener.incoming().flatten() {
             if self.is_ended.load(Ordering::SeqCst) {
                 return;
             }
             let _ = stream.set_nodelay(true);
-            let connection = Arc::new(Connection { stream, out: Mutex::default() });
-            self.connections.lock().expect("them").push(connection.clone());
-            let (machine, draws) = (self.clone(), Pcg64Mcg::new(draws.gen()));
-            spawn(move || machine.serve(&connection, draws));
+            let connection = Arc::new(Connection { stream, open: Mutex::default() });
+            self.connections.lock().expect("lock").push(connection.clone());
+            let (machine, rng) = (self.clone(), Pcg64Mcg::new(rng.gen()));
+            spawn(move || machine.serve(&connection, rng));
         }
     }
 
-    fn serve(&self, connection: &Arc<Connection>, mut draws: Pcg64Mcg) {
-        // What comes to a machine that hangs has come; it acts on it later.
+    fn serve(&self, connection: &Arc<Connection>, mut rng: Pcg64Mcg) {
+        // A hanging machine still receives messages, whose arrival times count; it handles them later.
         let (sender, arrivals) = channel();
         let (ledger, stream) = (self.ledger.clone(), connection.stream.try_clone().expect("a second handle"));
         spawn(move || read_lines(&ledger, stream, &sender));
@@ -154,60 +154,62 @@
             while self.is_hung.load(Ordering::SeqCst) {
                 sleep(Duration::from_millis(2));
             }
-            self.hear(connection, &arrival, &mut draws);
+            self.handle_line(connection, &arrival, &mut rng);
         }
-        // What was open on it is given up; what runs goes on to its end, of which nobody hears here.
+        // The end of the connection cancels its open copies; running tasks continue, but their end is not
+        // reported here.
         self.drop_all(connection);
         let _ = connection.stream.shutdown(Shutdown::Both);
     }
 
     fn drop_all(&self, connection: &Connection) {
-        let out = std::mem::take(&mut *connection.out.lock().expect("them"));
-        out.values().for_each(|(copy, _)| self.ledger.over(*copy));
+        let open = std::mem::take(&mut *connection.open.lock().expect("lock"));
+        open.values().for_each(|(copy, _)| self.ledger.over(*copy));
     }
 
-    fn hear(&self, connection: &Arc<Connection>, arrival: &Arrival, draws: &mut Pcg64Mcg) {
+    fn handle_line(&self, connection: &Arc<Connection>, arrival: &Arrival, rng: &mut Pcg64Mcg) {
         let line = &arrival.line[..];
-        let (kind, task) = told(line);
+        let (kind, task) = kind_and_task(line);
         match kind.as_str() {
-            "launch" => self.take(connection, arrival, task, draws),
+            "launch" => self.take(connection, arrival, task, rng),
             "stop" => self.is_over(connection, task),
             "check" => {
-                let said: Value = serde_json::from_slice(line).expect("a message");
-                let answer = json!({"kind": "checked", "uid": said["uid"], "meta": {}, "reason": 1});
-                connection.say(format!("{answer}\n").as_bytes());
+                let message: Value = serde_json::from_slice(line).expect("a message");
+                let answer = json!({"kind": "checked", "uid": message["uid"], "meta": {}, "reason": 1});
+                connection.write(format!("{answer}\n").as_bytes());
             }
             _ => {}
         }
     }
 
     fn is_over(&self, connection: &Connection, task: u64) {
-        if let Some((copy, _)) = connection.out.lock().expect("them").remove(&task) {
+        if let Some((copy, _)) = connection.open.lock().expect("lock").remove(&task) {
             self.ledger.over(copy);
         }
     }
 
-    fn take(&self, connection: &Arc<Connection>, arrival: &Arrival, task: u64, draws: &mut Pcg64Mcg) {
-        let said: Value = serde_json::from_slice(&arrival.line).expect("a message");
-        let left_ms: f64 = said["meta"]["left"].as_str().and_then(|left| left.parse().ok()).expect("a time");
+    fn take(&self, connection: &Arc<Connection>, arrival: &Arrival, task: u64, rng: &mut Pcg64Mcg) {
+        let message: Value = serde_json::from_slice(&arrival.line).expect("a message");
+        let left_ms: f64 =
+            message["meta"]["left"].as_str().and_then(|left| left.parse().ok()).expect("a time");
         let copy = self.ledger.arrived(task, self.number, (arrival.at, left_ms / 1e3));
-        connection.out.lock().expect("them").insert(task, (copy, false));
-        match Deed::draw(draws) {
-            Deed::Silence => {}
-            Deed::Turn(cause) => {
+        connection.open.lock().expect("lock").insert(task, (copy, false));
+        match Reaction::draw(rng) {
+            Reaction::Silence => {}
+            Reaction::Refuse(cause) => {
                 self.is_over(connection, task);
-                connection.say(&stop(task, cause));
+                connection.write(&stop(task, cause));
             }
-            Deed::Reset => {
+            Reaction::Reset => {
                 let _ = socket2::SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
                 self.drop_all(connection);
                 let _ = connection.stream.shutdown(Shutdown::Both);
             }
-            Deed::Close => {
+            Reaction::Close => {
                 self.drop_all(connection);
                 let _ = connection.stream.shutdown(Shutdown::Both);
             }
-            Deed::Run { after, for_ } => {
+            Reaction::Run { after, for_ } => {
                 let (machine, connection) = (self.clone(), connection.clone());
                 spawn(move || machine.run(&connection, task, after, for_));
             }
@@ -217,16 +219,16 @@
     fn run(&self, connection: &Connection, task: u64, after: Duration, for_: Duration) {
         sleep(after);
         {
-            let mut out = connection.out.lock().expect("them");
-            let Some((_, runs)) = out.get_mut(&task) else { return };
+            let mut open = connection.open.lock().expect("lock");
+            let Some((_, runs)) = open.get_mut(&task) else { return };
             *runs = true;
-            connection.say(&running(task));
+            connection.write(&running(task));
         }
         sleep(for_);
-        let was_out = connection.out.lock().expect("them").contains_key(&task);
+        let was_open = connection.open.lock().expect("lock").contains_key(&task);
         self.is_over(connection, task);
-        if was_out {
-            connection.say(&stop(task, OVER));
+        if was_open {
+            connection.write(&stop(task, COMPLETED));
         }
     }
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,5 +1,6 @@
-//! A soak: planners under clients that never rest, machines that fail in drawn ways, a list that changes, and signals in
-//! series. `SOAK_SEEDS=FIRST..END cargo test --test soak` plays other seeds than CI does.
+//! A soak test: planners under constant load, with machines that fail at random, a changing machine list, and
+//! signals sent to the planners. `SOAK_SEEDS=FIRST..END cargo test --test soak` runs other seeds than CI
+//! does.
 
 mod client;
 #[path = "../exchange/mod.rs"]
@@ -9,7 +10,7 @@
 mod machine;
 mod planners;
 
-use client::{Place, Shared};
+use client::{PlannerSlot, Shared};
 use ledger::Ledger;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -20,18 +21,19 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// The seeds that CI plays.
+/// The seeds that CI runs.
 const SEEDS: Range<u64> = 1..7;
-/// How long clients send.
+/// The time for which clients send requests.
 const LENGTH: Duration = Duration::from_secs(8);
-/// Count. Planners, and clients of each.
+/// Number of planners.
 const PLANNERS: u64 = 2;
+/// Number of clients of each planner.
 const CLIENTS: u64 = 3;
-/// Count. Connections of a crowd that never sends a whole request.
-const CROWD: usize = 90;
+/// Maximum number of idle connections, which never send a complete request.
+const MAX_IDLE_CONNECTIONS: usize = 90;
 
-/// A generator of its own for each part of a run.
-fn draws_of(seed: u64, part: u64) -> Pcg64Mcg {
+/// A random generator for one part of a run, so that parts do not affect each other's draws.
+fn rng_for(seed: u64, part: u64) -> Pcg64Mcg {
     Pcg64Mcg::new(u128::from(seed) << 64 | u128::from(part) << 8 | 1)
 }
 
@@ -41,68 +43,70 @@
     first.parse().expect("a number")..end.parse().expect("a number")
 }
 
-/// Connections that are opened, some with half a message, and opened anew as they are closed.
-fn crowd(shared: &Shared, place: &Place, mut draws: Pcg64Mcg) {
+/// Keeps opening connections, some of which send an incomplete message, and closes the oldest above the
+/// maximum.
+fn open_idle_connections(shared: &Shared, slot: &PlannerSlot, mut rng: Pcg64Mcg) {
     let mut links = Vec::new();
     while !shared.is_over.load(Ordering::SeqCst) {
-        let address = place.address.lock().expect("it").clone();
+        let address = slot.address.lock().expect("lock").clone();
         if let Ok(mut stream) = TcpStream::connect(&address) {
             let half = exchange::protocol::set_up(1, "stateless", 1000, "x");
-            let _ = std::io::Write::write_all(&mut stream, &half[..draws.gen_range(0..20)]);
+            let _ = std::io::Write::write_all(&mut stream, &half[..rng.gen_range(0..20)]);
             links.push(stream);
         }
-        if links.len() > CROWD {
+        if links.len() > MAX_IDLE_CONNECTIONS {
             links.remove(0);
         }
-        sleep(Duration::from_millis(draws.gen_range(1..8)));
+        sleep(Duration::from_millis(rng.gen_range(1..8)));
     }
 }
 
-/// Plays one seed; gives what was broken, and how many requests there were.
-fn play(seed: u64) -> (Vec<String>, usize) {
+/// Runs one seed; returns the broken rules and the number of requests.
+fn run_seed(seed: u64) -> (Vec<String>, usize) {
     let ledger = Arc::new(Ledger::new());
     let shared = Arc::new(Shared {
         ledger: ledger.clone(),
         next_task: AtomicU64::new(1 + (seed << 32)),
         is_over: AtomicBool::new(false),
     });
-    let list = list::List::start(ledger.clone(), draws_of(seed, 1));
-    let mut all = Vec::new();
+    let list = list::List::start(ledger.clone(), rng_for(seed, 1));
+    let mut threads = Vec::new();
     for number in 0..PLANNERS {
-        let place = Arc::new(Place::default());
+        let slot = Arc::new(PlannerSlot::default());
         let planner = planners::start(&list.address, &list.known(), seed);
-        *place.address.lock().expect("it") = planner.owners.clone();
+        *slot.address.lock().expect("lock") = planner.owners.clone();
         for client in 0..CLIENTS {
-            let (shared, place) = (shared.clone(), place.clone());
-            let draws = draws_of(seed, 100 + 10 * number + client);
-            all.push(spawn(move || client::run(&shared, &place, draws)));
+            let (shared, slot) = (shared.clone(), slot.clone());
+            let rng = rng_for(seed, 100 + 10 * number + client);
+            threads.push(spawn(move || client::run(&shared, &slot, rng)));
         }
         if seed.is_multiple_of(3) {
-            let (shared, place, draws) = (shared.clone(), place.clone(), draws_of(seed, 50 + number));
-            all.push(spawn(move || crowd(&shared, &place, draws)));
+            let (shared, slot, rng) = (shared.clone(), slot.clone(), rng_for(seed, 50 + number));
+            threads.push(spawn(move || open_idle_connections(&shared, &slot, rng)));
         }
-        let (shared, list, draws) = (shared.clone(), list.clone(), draws_of(seed, 10 + number));
-        all.push(spawn(move || planners::trouble(planner, &place, &shared, &list, seed, draws)));
+        let (shared, list, rng) = (shared.clone(), list.clone(), rng_for(seed, 10 + number));
+        threads.push(spawn(move || planners::inject_signals(planner, &slot, &shared, &list, seed, rng)));
     }
     sleep(LENGTH);
     shared.is_over.store(true, Ordering::SeqCst);
-    for thread in all {
-        thread.join().expect("no part of the run fails");
+    for thread in threads {
+        thread.join().expect("no thread of the run panics");
     }
     list.end();
-    ledger.judge()
+    ledger.check()
 }
 
-/// Guards every request through all that befalls planners and machines at once: one answer in time, one copy out, no
-/// attempt for a client that left, no more time passed on than there is.
+/// Guards every request under all of these faults together: one answer in time, at most one open attempt, no
+/// attempt that starts after its client left, and no longer time limit passed to a machine than the client
+/// has left.
 #[test]
 fn all_rules_hold_through_signals_failing_machines_and_a_changing_list() {
     let mut broken = Vec::new();
     for seed in seeds() {
-        let (of_seed, requests) = play(seed);
-        println!("seed {seed}: {requests} requests, {} broken", of_seed.len());
-        assert!(requests > 300, "seed {seed}: {requests} requests are no soak");
-        broken.extend(of_seed.into_iter().map(|rule| format!("seed {seed}: {rule}")));
+        let (broken_rules, requests) = run_seed(seed);
+        println!("seed {seed}: {requests} requests, {} broken", broken_rules.len());
+        assert!(requests > 300, "seed {seed}: only {requests} requests");
+        broken.extend(broken_rules.into_iter().map(|rule| format!("seed {seed}: {rule}")));
     }
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,9 +1,10 @@
-//! Boxes that fall silent, watchers that do not read, and files that cannot be used.
+//! Machines that fall silent, watchers that do not read, floods of clients, short reads, and invalid files.
 
 mod exchange;
 
 use exchange::{
-    faults, fill, instance, knows, protocol, settings, short_box, stand_in, unescape, Planner, Wire,
+    config_with, faults, fill, instance, protocol, settings, short_backlog_listener, stand_in, unescape,
+    Planner, Wire,
 };
 use serde_json::json;
 use std::io::ErrorKind::{TimedOut, WouldBlock};
@@ -15,9 +16,10 @@
 const RUNNING: &str = r#"{"kind":"running","uid":"0000000000000001","meta":{},"body":"here"}"#;
 const STOP: &str = r#"{"kind":"stop","uid":"0000000000000001","meta":{},"reason":16}"#;
 
-/// A task that stands at a short box, what happens meanwhile, and the cause of its release.
-fn silent(meanwhile: impl FnOnce(&socket2::Socket, &str, &mut Wire)) -> u8 {
-    let (listener, address) = short_box();
+/// Runs a task on a machine with a short backlog that then sends nothing more, calls `meanwhile`, and returns
+/// the cause of the task's release.
+fn cause_after_silence(meanwhile: impl FnOnce(&socket2::Socket, &str, &mut Wire)) -> u8 {
+    let (listener, address) = short_backlog_listener();
     let planner = Planner::start(std::slice::from_ref(&address), None, None);
     let mut link = Wire::new(listener.accept().expect("the planner connects").0.into());
     let mut owner = Wire::connect(&planner.owners);
@@ -30,11 +32,11 @@
     *release.last().expect("a cause")
 }
 
-/// Guards rule 1 and owners' time: a set-up for a box to which no connection comes up never ran, and its owner is
-/// refused once the module gives up, long before the deadline.
+/// Guards rule 1 and owners' time: a set-up for a machine to which no connection comes up did not run, and
+/// its owner is refused once the placer gives up, long before the deadline.
 #[test]
-fn a_box_that_takes_no_connection_holds_nobody_up() {
-    let (_listener, address) = short_box();
+fn an_unreachable_machine_delays_no_request() {
+    let (_listener, address) = short_backlog_listener();
     let _full = fill(&address);
     let planner = Planner::start(&[address], None, None);
     let mut owner = Wire::connect(&planner.owners);
@@ -44,36 +46,40 @@
     assert_eq!((refusal[2], refusal.last()), (12, Some(&34)));
 }
 
-/// Guards what stands at a box that hangs: it says nothing, but it still takes connections.
+/// Guards tasks on a machine that hangs: it sends nothing, but still accepts connections.
 #[test]
-fn a_silent_box_that_takes_connections_keeps_its_tasks() {
-    let cause = silent(|listener, _, _| {
-        // Each look takes the place of the connection before.
-        let looks: Vec<_> =
-            (0..3).map(|_| listener.accept().expect("it looks whether the box is there")).collect();
-        let mut last =
-            looks.into_iter().next_back().map(|(stream, _)| Wire::new(stream.into())).expect("a look");
+fn a_silent_machine_that_accepts_connections_keeps_its_tasks() {
+    let cause = cause_after_silence(|listener, _, _| {
+        // Each new connection replaces the one before.
+        let connections: Vec<_> =
+            (0..3).map(|_| listener.accept().expect("the planner dials to check the machine")).collect();
+        let mut last = connections
+            .into_iter()
+            .next_back()
+            .map(|(stream, _)| Wire::new(stream.into()))
+            .expect("a connection");
         last.send(format!("{STOP}\n").as_bytes());
     });
     assert_eq!(cause, 16);
 }
 
-/// Guards owners of what stood at a box that vanished: nothing is said, and no connection comes up.
+/// Guards owners of tasks on a machine that vanished: it sends nothing, and no connection comes up.
 #[test]
-fn a_silent_box_that_takes_none_has_lost_them() {
+fn a_silent_machine_that_accepts_no_connections_loses_its_tasks() {
     let mut full = Vec::new();
-    let cause = silent(|_, address, _| full = fill(address));
+    let cause = cause_after_silence(|_, address, _| full = fill(address));
     assert_eq!(cause, 41);
 }
 
-/// Guards owners of what stood at a box that ends its service: it takes no new connections, answers every test on the
-/// old one, and tells of no end, nor does the list. Its owner hears within the protocol's 8 s.
+/// Guards owners of tasks on a machine that shuts its service down: it refuses new connections, answers every
+/// test on the old one, and reports no end, nor does the machine list. The owner is notified within the
+/// protocol's 8 s.
 #[test]
-fn a_box_that_refuses_connections_and_tells_nothing_has_lost_them() {
+fn a_machine_that_refuses_connections_and_reports_nothing_loses_its_tasks() {
     let since = std::time::Instant::now();
-    let (mut tests, mut over) = (0, None);
-    let cause = silent(|listener, _, link| {
-        listener.shutdown(std::net::Shutdown::Both).expect("it takes no more");
+    let (mut tests, mut stopped_after) = (0, None);
+    let cause = cause_after_silence(|listener, _, link| {
+        listener.shutdown(std::net::Shutdown::Both).expect("it refuses connections from now on");
         while let Some(line) = link.line() {
             let said: serde_json::Value = serde_json::from_slice(&line).expect("a message");
             match said["kind"].as_str() {
@@ -83,25 +89,26 @@
                     link.send(format!("{answer}\n").as_bytes());
                 }
                 Some("stop") => {
-                    over = Some(since.elapsed());
+                    stopped_after = Some(since.elapsed());
                     break;
                 }
-                other => assert_eq!(other, Some("staging"), "a free word"),
+                other => assert_eq!(other, Some("staging"), "no message but progress, which has no price"),
             }
         }
     });
-    let over = over.expect("the box is told to cut what counts as lost").as_secs_f64();
-    assert_eq!((cause, tests), (41, 0), "no test was paid for");
-    assert!((6.4..8.0).contains(&over), "told after {over} s");
+    let stopped_after =
+        stopped_after.expect("the machine is ordered to stop a task that counts as lost").as_secs_f64();
+    assert_eq!((cause, tests), (41, 0), "no test was sent, as each has a price");
+    assert!((6.4..8.0).contains(&stopped_after), "the task counted as lost after {stopped_after} s");
 }
 
-/// Guards what stands at a box whose connection brings nothing any more, though it takes others: what it owes comes on
-/// the next one, which takes the mute one's place, and no test is paid for.
+/// Guards tasks on a machine whose connection brings nothing more, though it accepts others: its messages
+/// arrive on the next connection, which replaces the silent one; no test is sent, as each has a price.
 #[test]
-fn a_mute_connection_is_gone_over_from() {
+fn a_silent_connection_is_replaced() {
     let since = std::time::Instant::now();
     let mut next = None;
-    let cause = silent(|listener, _, _| {
+    let cause = cause_after_silence(|listener, _, _| {
         let mut wire = Wire::new(listener.accept().expect("the planner dials").0.into());
         wire.send(format!("{STOP}\n").as_bytes());
         next = Some(wire);
@@ -110,26 +117,28 @@
     assert!(since.elapsed().as_secs_f64() < 4.0 && next.is_some());
 }
 
-/// Guards usual owners against a crowd that connects and says nothing: it is the crowd that makes room.
+/// Guards ordinary owners against many clients that connect and send nothing: the idle ones are closed to
+/// make room.
 #[test]
-fn a_silent_crowd_keeps_nobody_out() {
+fn idle_clients_keep_nobody_out() {
     let planner = Planner::small(32);
     let test = unescape("\\x00\\x0d4\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\x09\\x11\\x00\\x01\\x00");
     let mut usual = Wire::connect(&planner.owners);
     usual.send(&test);
     usual.frame().expect("a passed test");
-    let mut crowd: Vec<Wire> = (0..100).map(|_| Wire::connect(&planner.owners)).collect();
+    let mut idle_clients: Vec<Wire> = (0..100).map(|_| Wire::connect(&planner.owners)).collect();
     let mut late = Wire::connect(&planner.owners);
     for wire in [&mut late, &mut usual] {
         wire.send(&test);
         assert_eq!(wire.frame().expect("a passed test")[2], 53);
     }
-    assert!(crowd.iter_mut().all(|wire| wire.frame().is_none()), "each is closed in its turn");
+    assert!(idle_clients.iter_mut().all(|wire| wire.frame().is_none()), "each idle connection is closed");
 }
 
-/// Guards usual owners' time against one that floods with what cannot be used: it is told so, and then closed.
+/// Guards ordinary owners against one that floods the planner with invalid messages: it gets refusals, and is
+/// then closed.
 #[test]
-fn a_flood_of_what_cannot_be_used_ends() {
+fn a_flood_of_invalid_messages_is_cut_off() {
     let planner = Planner::small(32);
     let mut flood = Wire::connect(&planner.owners);
     let bad = unescape("\\x00\\x09\\x01\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\x03");
@@ -142,9 +151,10 @@
     assert_eq!(refusals, 16);
 }
 
-/// Guards the planner's memory: a watcher that does not read is cut, and the others go on.
+/// Guards the planner's memory: a watcher that does not read is disconnected, and a new one is admitted in
+/// its place.
 #[test]
-fn a_watcher_that_does_not_read_is_cut() {
+fn a_watcher_that_does_not_read_is_disconnected() {
     let (address, _launches) = stand_in();
     let planner =
         Planner::start(&[address], None, Some("slowWatcherMs: 50, maxWatchers: 1, maxBodyBytes: 20000"));
@@ -152,12 +162,12 @@
     lazy.ask("GET /v1/jobs?watch=true");
     lazy.answer().expect("a stream");
     let (mut client, mut next) = (Wire::connect(&planner.rest), Wire::connect(&planner.rest));
-    // Each key is told in every change, so that few jobs fill what lies between.
+    // Every change contains the key, so that long keys fill the socket buffers with few jobs.
     let key = "k".repeat(250);
     let mut number = 0;
     loop {
         number += 1;
-        assert!(number < 100_000, "it was never cut");
+        assert!(number < 100_000, "the watcher was never disconnected");
         let body = r#"{"class":"keyed","service":"s","cores":0.01,"memory":0.01,"deadlineMs":4000,"description":"POST /end"}"#;
         client.ask(&format!("POST /v1/jobs {key}{number} {body}"));
         client.answer().expect("an answer");
@@ -170,9 +180,10 @@
     }
 }
 
-/// Guards operators against a planner that starts with half a configuration, or ends without a plain word.
+/// Guards operators against a planner that accepts an incomplete configuration, or rejects one without a
+/// one-line reason.
 #[test]
-fn a_bad_file_is_told_in_one_line() {
+fn a_bad_file_is_reported_in_one_line() {
     let folder = std::env::temp_dir().join(format!("burlhook-files-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = |name: &str| folder.join(name).display().to_string();
@@ -197,15 +208,15 @@
         let output =
             command.args(["check", "--config", &path("config"), "--operators", &path("operators")]).output();
         let output = output.expect("it runs");
-        let told = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.success(), wanted.is_none(), "{told}");
-        assert!(told.contains(wanted.unwrap_or_default()), "{told}");
-        assert_eq!(told.lines().count(), usize::from(wanted.is_some()), "{told}");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.success(), wanted.is_none(), "{stderr}");
+        assert!(stderr.contains(wanted.unwrap_or_default()), "{stderr}");
+        assert_eq!(stderr.lines().count(), usize::from(wanted.is_some()), "{stderr}");
     }
     std::fs::remove_dir_all(folder).expect("the folder goes");
 }
 
-/// Guards the importer against one bad entry, a size that is not known, and the mark that some writers put first.
+/// Guards the HAR importer against one bad entry, an unknown size, and a leading byte order mark.
 #[test]
 fn a_har_file_becomes_a_mix() {
     let entry = |at: &str, method: &str, url: &str, time: f64, size: i64| {
@@ -224,8 +235,8 @@
     let output = output.expect("it runs");
     let name = path.file_name().expect("a name").to_string_lossy().into_owned();
     std::fs::remove_file(&path).expect("the file goes");
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert!(told.contains(&format!("{name}:2: startedDateTime \"yesterday\"")), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.contains(&format!("{name}:2: startedDateTime \"yesterday\"")), "{stderr}");
     let mix: Vec<serde_json::Value> = String::from_utf8_lossy(&output.stdout)
         .lines()
         .map(|l| serde_json::from_str(l).expect("JSON"))
@@ -242,22 +253,23 @@
     assert_eq!((&mix[1]["atMs"], mix[1]["key"].as_str().map(str::len)), (&json!(1500), Some(16)));
 }
 
-/// Guards the rule of one attempt out: a connection that the planner gives up is closed, which gives up what is open on
-/// it, before that goes elsewhere.
+/// Guards the rule of one open attempt per request: a connection that the planner abandons is closed on both
+/// sides, which cancels the attempts on it, before they are sent to another machine.
 #[test]
 fn a_connection_is_closed_before_its_attempts_go_elsewhere() {
-    let boxes: Vec<TcpListener> = (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
+    let machines: Vec<TcpListener> =
+        (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
     let addresses: Vec<String> =
-        boxes.iter().map(|b| b.local_addr().expect("its address").to_string()).collect();
+        machines.iter().map(|b| b.local_addr().expect("its address").to_string()).collect();
     let planner = Planner::start(&addresses, None, None);
     let mut wires: Vec<Wire> =
-        boxes.iter().map(|b| Wire::new(b.accept().expect("the planner connects").0)).collect();
+        machines.iter().map(|b| Wire::new(b.accept().expect("the planner connects").0)).collect();
     let mut owner = Wire::connect(&planner.owners);
     owner.send(&unescape(SET_UP));
     let wait = |wire: &Wire, ms| {
         wire.stream.set_read_timeout(Some(std::time::Duration::from_millis(ms))).expect("a time-out");
     };
-    // It goes to either; the one that got it writes what cannot be read.
+    // The request goes to either machine; the one that received it sends an invalid line.
     wires.iter().for_each(|wire| wait(wire, 20));
     let asked = |wire: &Wire| matches!(wire.stream.peek(&mut [0]), Ok(1));
     let first = (0..).map(|turn| turn % 2).find(|&at| asked(&wires[at])).expect("a set-up");
@@ -266,7 +278,7 @@
     wires[first].send(b"?\n");
     let end = std::io::Read::read(&mut wires[first].stream, &mut [0]);
     assert!(matches!(end, Ok(0)), "the planner ends the connection: {end:?}");
-    // Nothing goes elsewhere while its machine has not ended it, too.
+    // Nothing is sent elsewhere until the machine has closed the connection as well.
     wait(&wires[1 - first], 20);
     let early = wires[1 - first].stream.peek(&mut [0]);
     assert!(matches!(&early, Err(e) if matches!(e.kind(), WouldBlock | TimedOut)), "{early:?}");
@@ -275,13 +287,13 @@
     wires[1 - first].line().expect("the set-up goes to the other");
 }
 
-/// Guards the list and requests against reads and writes that are short: what the system has still is read, and what it did not
-/// take is written.
+/// Guards the machine list and requests against short reads and writes: the planner reads the rest that the
+/// kernel still holds, and writes the rest that it did not take.
 #[test]
 fn a_planner_whose_reads_and_writes_are_all_short_follows_the_list() {
     let (list, list_address) = protocol::listener();
     let (machine, address) = protocol::listener();
-    let planner = Planner::start_in(knows(&[], Some(&list_address)), None, &faults(1, 0, 1));
+    let planner = Planner::start_in(config_with(&[], Some(&list_address)), None, &faults(1, 0, 1));
     let mut watch = protocol::accept(&list);
     assert_eq!(watch.line().expect("watch N"), b"watch 1\n");
     let instances: Vec<_> =
@@ -291,7 +303,7 @@
     let mut link = protocol::accept(&machine);
     let mut owner = Wire::connect(&planner.owners);
     owner.send(&protocol::set_up(1, "stateless", 8000, &"x".repeat(2000)));
-    assert_eq!(protocol::told(&link.line().expect("a set-up")), ("launch".into(), 1));
+    assert_eq!(protocol::kind_and_task(&link.line().expect("a set-up")), ("launch".into(), 1));
     link.send(&protocol::running(1));
     assert_eq!(protocol::answered(&mut owner), Some((protocol::ANSWER, 1, None)));
 }
--- a/tests/twin.rs
+++ b/tests/twin.rs
@@ -1,4 +1,5 @@
-//! Budgets of the fleet in the simulated twin: the program's own books on one simulated clock, under drawn faults.
+//! Fleet-wide budgets in simulation: the program's own lease code on one simulated clock, under random
+//! faults.
 
 use burlhook_lab::net::What;
 use burlhook_lab::twin::{rough, Options, Twin, TERMS};
@@ -6,10 +7,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Guards the whole, whatever befalls: planners killed, told to stop, stopped for up to 10 s, parted, also one way only,
-/// words lost, doubled, late by up to 2 s and out of order, on clocks that run apart by as much as the terms allow.
+/// Guards the fleet-wide budget against random faults: planners killed, stopped, or paused for up to 10 s;
+/// partitions, also in one direction only; messages lost, duplicated, reordered, or late by up to 2 s; clocks
+/// that drift apart by as much as the lease terms allow.
 #[test]
-fn no_fault_brings_more_into_use_than_the_whole() {
+fn no_fault_makes_the_fleet_exceed_its_budget() {
     let mut worst = 0;
     for seed in 0..60 {
         let mut twin = Twin::new(rough(seed, None, 25));
@@ -17,10 +19,11 @@
         assert_eq!(twin.broken, None, "seed {seed}");
         worst = worst.max(twin.worst);
     }
-    assert!(worst >= 20, "the whole is used where it can be: {worst}");
+    assert!(worst >= 20, "the budget was hardly used: at most {worst} units");
 }
 
-/// Guards the end of faults: once all hear each other again, everyone who asks has a share within some leases.
+/// Guards recovery: once all planners can reach each other again, each one with need has a share within a few
+/// lease times.
 #[test]
 fn everyone_has_a_share_once_faults_are_over() {
     for seed in 0..20 {
@@ -41,9 +44,9 @@
     }
 }
 
-/// Guards what a budget is for: nearly all of it is used, whoever needs it.
+/// Guards the use of the budget: nearly all of it is in use, whichever planners need it.
 #[test]
-fn the_whole_is_used_by_those_who_need_it() {
+fn the_budget_is_used_by_those_who_need_it() {
     let used = |options: Options| {
         let mut twin = Twin::new(options);
         twin.run(SECOND * 6);
@@ -65,7 +68,8 @@
     assert!(even > 0.95 && one > 0.90 && killed > 0.85 && small > 0.85);
 }
 
-/// Guards the share of a planner that is gone: its slot's part is in use elsewhere after some leases, and comes back to it.
+/// Guards the share of a planner that is gone: other planners use its slot's share after a few lease times,
+/// and give it back when it returns.
 #[test]
 fn a_gone_planners_share_is_used_elsewhere_and_given_back() {
     let mut twin = Twin::new(Options::calm(8, 400, |_| 1_000));
@@ -73,11 +77,11 @@
     assert!(twin.in_use() >= 390, "{}", twin.in_use());
     twin.befall(What::Kill { planner: 5, again_ms: None });
     twin.run(SECOND / 2);
-    assert!(twin.in_use() <= 352, "its fifty are idle at first: {}", twin.in_use());
+    assert!(twin.in_use() <= 352, "its fifty units are idle at first: {}", twin.in_use());
     twin.run(SECOND * 8);
     // Its floor of 25 stays idle.
-    assert!(twin.in_use() >= 365, "its slot's part is in use again: {}", twin.in_use());
-    // One that leaves as it should makes room at once.
+    assert!(twin.in_use() >= 365, "the share of its slot is in use again: {}", twin.in_use());
+    // A planner that exits on SIGTERM releases its share at once.
     let mut twin = Twin::new(Options::calm(8, 400, |at| if at == 5 { 0 } else { 1_000 }));
     twin.run(SECOND * 8);
     twin.befall(What::Term { planner: 5, again_ms: Some(6_000) });
@@ -85,39 +89,42 @@
     assert!(twin.in_use() >= 365, "{}", twin.in_use());
     twin.want(5, 1_000);
     twin.run(SECOND * 8);
-    assert!(twin.in_use_by()[5] >= 40, "it has its own again: {:?}", twin.in_use_by());
+    assert!(twin.in_use_by()[5] >= 40, "it has its own share again: {:?}", twin.in_use_by());
     assert_eq!(twin.broken, None);
 }
 
-/// Guards planners that come to need more against one that reports absurd need: the base is theirs, and what is spared
-/// goes round.
+/// Guards planners whose need grows against one that reports an absurd need: they get their base share back,
+/// and spare units are shared in turn.
 #[test]
-fn absurd_need_takes_nobodys_base() {
+fn absurd_need_takes_no_other_planners_base_share() {
     let mut twin = Twin::new(Options::calm(8, 80, |at| if at == 0 { u64::MAX / 4 } else { 0 }));
     twin.run(SECOND * 10);
-    assert!(twin.in_use_by()[0] > 60, "it has what nobody needs: {:?}", twin.in_use_by());
+    assert!(twin.in_use_by()[0] > 60, "it has what no other planner needs: {:?}", twin.in_use_by());
     twin.want(5, 100);
     twin.want(6, 100);
     twin.run(Duration::from_micros(2 * TERMS.lease) + SECOND);
     let used = twin.in_use_by();
-    assert!(used[5] >= 8 && used[6] >= 8, "their base is back within two leases: {used:?}");
+    assert!(used[5] >= 8 && used[6] >= 8, "their base share is back within two lease times: {used:?}");
     twin.run(SECOND * 20);
     let used = twin.in_use_by();
-    assert!(used[5] >= 15 && used[6] >= 15 && twin.in_use() >= 70, "what is spared goes round: {used:?}");
+    assert!(
+        used[5] >= 15 && used[6] >= 15 && twin.in_use() >= 70,
+        "spare units are shared in turn: {used:?}"
+    );
 }
 
-/// Guards the largest fleets: what is said stays bounded, and the whole is kept.
+/// Guards the largest fleets: the traffic between planners stays bounded, and the budget is not exceeded.
 #[test]
-fn words_are_bounded_at_350_planners() {
+fn traffic_is_bounded_at_350_planners() {
     let mut twin = Twin::new(Options::calm(350, 3_500, |at| if at % 10 == 0 { 60 } else { 2 }));
     twin.run(SECOND * 5);
     twin.measure();
     twin.run(SECOND * 4);
-    let (words, datagrams) = twin.said();
+    let (messages, datagrams) = twin.said();
     let each = |n: u64| n as f64 / 350.0 / 4.0;
     println!(
-        "{:.1} words, {:.1} datagrams a second a planner; share used {:.3}",
-        each(words),
+        "{:.1} messages, {:.1} datagrams per second and planner; share used {:.3}",
+        each(messages),
         each(datagrams),
         twin.share_used()
     );
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,4 +1,5 @@
-//! The wall clock may step, here or where the list of machines is made; what follows from time does not.
+//! Wall clocks may step, on the planner's host or at the discovery service, without an effect on decisions
+//! that depend on time.
 
 mod exchange;
 
@@ -7,14 +8,15 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds. An hour.
+/// One hour, in milliseconds.
 const HOUR_MS: u64 = 3_600_000;
 
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis() as u64
 }
 
-/// When a machine came up, as a planner tells it, once it knows the machine.
+/// A machine's start time by the planner's REST API, in milliseconds; waits until the planner knows the
+/// machine.
 fn started_ms(planner: &Planner, name: &str) -> u64 {
     let since = Instant::now();
     loop {
@@ -31,20 +33,24 @@
     }
 }
 
-/// Guards a machine that has just come up, as a list tells whose wall clock stepped back by an hour: it is not taken to be
-/// warm.
+/// Guards a machine that has just started where discovery's wall clock is an hour behind: with the start time
+/// that discovery reports the machine would count as warm and receive full load.
 #[test]
-fn a_start_that_the_list_tells_an_hour_wrong_counts_as_now() {
+fn a_start_time_that_is_an_hour_off_counts_as_now() {
     let (list, address) = listener();
     let planner = Planner::start(&[], Some(&address), Some("maxOpenJobs: 10"));
     let mut watch = accept(&list);
     assert_eq!(watch.line().expect("watch N"), b"watch 1\n");
-    // From here on what it tells is told as it happens.
+    // Events after this line count as current, not as history.
     watch.send(b"1\n");
-    let told_at = unix_ms();
+    let listed_at = unix_ms();
     let mut machine = instance("b1", "127.0.0.1:1", "in_service");
-    machine["startedAtMs"] = json!(told_at - HOUR_MS);
+    machine["startedAtMs"] = json!(listed_at - HOUR_MS);
     watch.send(&event(2, &[machine]));
     let started = started_ms(&planner, "b1");
-    assert!(started + 1000 >= told_at, "it counts as up since {} ms before", told_at - started);
+    assert!(
+        started + 1000 >= listed_at,
+        "the machine counts as started {} ms before it was listed",
+        listed_at - started
+    );
 }
