--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -194,7 +194,7 @@
 /// Guards machines against owners that disconnect during placement: a group without a key is cancelled, as
 /// nobody can ask for it again; one with a key continues.
 #[test]
-fn an_owner_that_leaves_gives_up_what_it_alone_waits_for() {
+fn an_owner_that_leaves_cancels_its_group_without_a_key() {
     let (nodes, _planner, rest) = rig(FILE, 40);
     let mut body = group(6, 1.0);
     (0..6).for_each(|at| body["members"][at]["class"] = json!("stateless"));
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -204,7 +204,7 @@
 /// Guards a planner whose file descriptors are exhausted by idle clients while the discovery service is down:
 /// it still serves ordinary clients, reconnects to discovery, and dials the machines that discovery lists.
 #[test]
-fn idle_clients_keep_neither_board_nor_machines_out() {
+fn idle_clients_block_neither_discovery_nor_machines() {
     const SOCKETS: u32 = 64;
     // The address is bound, but not listening.
     let down = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
--- a/tests/soak/machine.rs
+++ b/tests/soak/machine.rs
@@ -172,7 +172,7 @@
         let (kind, task) = kind_and_task(line);
         match kind.as_str() {
             "launch" => self.take(connection, arrival, task, rng),
-            "stop" => self.is_over(connection, task),
+            "stop" => self.end_copy(connection, task),
             "check" => {
                 let message: Value = serde_json::from_slice(line).expect("a message");
                 let answer = json!({"kind": "checked", "uid": message["uid"], "meta": {}, "reason": 1});
@@ -182,7 +182,7 @@
         }
     }
 
-    fn is_over(&self, connection: &Connection, task: u64) {
+    fn end_copy(&self, connection: &Connection, task: u64) {
         if let Some((copy, _)) = connection.open.lock().expect("lock").remove(&task) {
             self.ledger.over(copy);
         }
@@ -197,7 +197,7 @@
         match Reaction::draw(rng) {
             Reaction::Silence => {}
             Reaction::Refuse(cause) => {
-                self.is_over(connection, task);
+                self.end_copy(connection, task);
                 connection.write(&stop(task, cause));
             }
             Reaction::Reset => {
@@ -226,7 +226,7 @@
         }
         sleep(for_);
         let was_open = connection.open.lock().expect("lock").contains_key(&task);
-        self.is_over(connection, task);
+        self.end_copy(connection, task);
         if was_open {
             connection.write(&stop(task, COMPLETED));
         }
