--- a/tests/capacity_page.rs
+++ b/tests/capacity_page.rs
@@ -98,7 +98,7 @@
     slope.figures[0].points[2].values[0] += 5.0;
     slope.write(&copy.0).expect("a record");
     let why = page::check(&copy.0).expect_err("the fit does not match the changed points");
-    assert!(matches!(why, PageError::OtherFit { .. }), "{why}");
+    assert!(matches!(why, PageError::StaleFit { .. }), "{why}");
 }
 
 #[test]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 /// Settings with one task class, one machine kind of 10 cores and 20 units of memory, and at most four
 /// attempts.
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         classes: vec![Class {
             idempotency,
--- a/tests/many_placers.rs
+++ b/tests/many_placers.rs
@@ -98,11 +98,11 @@
     /// offers per window.
     fn new(placers: u32, configured: u32, bears: f64) -> RollOut {
         let wanted = Settings {
-            cold_bears: bears,
-            fall_s: OFFER_WINDOW_S,
+            cold_offer_limit: bears,
+            cold_window_s: OFFER_WINDOW_S,
             warm_within_s: 60.0,
             placers: configured,
-            ..settings(Effect::Repeatable)
+            ..settings(Idempotency::Repeatable)
         };
         let warm = entry(COLD_MACHINES, 0.0);
         let cold =
@@ -211,8 +211,8 @@
 
 #[test]
 fn a_restarted_placer_assumes_that_it_sent_its_full_share_of_offers() {
-    let mut wanted = settings(Effect::Repeatable);
-    wanted.cold_bears = 60.0;
+    let mut wanted = settings(Idempotency::Repeatable);
+    wanted.cold_offer_limit = 60.0;
     let mut rig = Rig::new(wanted, &[Entry { started: 0.5, ..entry(0, 10.0) }]);
     assert!(binds(&rig.submit(2.0, 1, task(1, 9.0))).is_empty());
     assert_eq!(binds(&rig.feed(5.0, Event::Timer)), [0]);
@@ -251,7 +251,7 @@
 
 #[test]
 fn placers_that_lose_a_machine_together_do_not_probe_it_in_step() {
-    let mut all = placers(60, &settings(Effect::Repeatable), &[entry(0, 9.0)]);
+    let mut all = placers(60, &settings(Idempotency::Repeatable), &[entry(0, 9.0)]);
     let mut probe_delays: Vec<f64> = Vec::new();
     for (n, rig) in (0u64..).zip(&mut all) {
         assert_eq!(binds(&rig.submit(2.0, n, task(n, 7.0))), [0]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -156,7 +156,7 @@
 
 #[test]
 fn attempts_stay_within_the_maximum() {
-    let mut wanted = settings(Effect::Repeatable);
+    let mut wanted = settings(Idempotency::Repeatable);
     wanted.max_attempts = 2;
     let mut rig = Rig::new(wanted, &[entry(0, 8.0), entry(1, 8.0), entry(2, 8.0)]);
     rig.submit(2.0, 1, task(1, 7.0));
@@ -230,7 +230,7 @@
 
 #[test]
 fn own_tasks_count_though_the_list_does_not_show_them() {
-    let mut rig = Rig::new(settings(Effect::Repeatable), &[entry(0, 10.0)]);
+    let mut rig = Rig::new(settings(Idempotency::Repeatable), &[entry(0, 10.0)]);
     for n in 0..9 {
         let resident = Event::Resident { request: RequestId(n), task: task(n, 50.0), machine: MachineId(0) };
         rig.feed(1.5, resident);
