--- a/lab/examples/subsetting_trial.rs
+++ b/lab/examples/subsetting_trial.rs
@@ -1,6 +1,8 @@
-//! A trial of three ways to give each planner a part of the machines, for `docs/design/subsets.md`: how even the parts
-//! are, and what moves as a planner or a machine goes or two planners hold lists that differ. Counts alone, the same in
-//! each run: `cargo run --release -p burlhook-lab --example subsetting_trial`.
+//! Compares three ways to assign each planner a subset of the machines, for `docs/design/subsets.md`: how even
+//! the subsets are, and how many assignments move when a planner or a machine is removed, or when two planners
+//! hold different lists. The results are deterministic counts.
+//!
+//! Run: `cargo run --release -p burlhook-lab --example subsetting_trial`.
 
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64;
@@ -8,20 +10,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-/// Count. Machines of the target.
+/// Count. Machines at the target size.
 const MACHINES: u32 = 18_000;
-/// Counts of planners.
+/// Numbers of planners to compare.
 const PLANNERS: [u32; 3] = [16, 32, 64];
-/// Counts of planners that serve a machine.
+/// Numbers of planners per machine to compare.
 const REPLICAS: [usize; 2] = [2, 3];
-/// Share by which a planner's part may be over the mean, where loads are bounded.
+/// Share by which a planner's subset may exceed the mean on the bounded-load ring.
 const OVER_MEAN: f64 = 0.1;
-/// Points of a planner on the ring, where loads are bounded.
+/// Count. Points of each planner on the bounded-load ring.
 const POINTS: u32 = 100;
-/// One machine in so many is missing from the other list: 5%.
+/// One machine in this many is missing from the other list: 5%.
 const MISSING_ONE_IN: u32 = 20;
 
-/// Which planners serve each machine.
+/// The planners that serve each machine.
 type Served = BTreeMap<u32, BTreeSet<u32>>;
 type Way = fn(machines: &[u32], planners: &[u32], replicas: usize) -> Served;
 
@@ -31,7 +33,7 @@
     hasher.finish()
 }
 
-/// The planners with the highest draws for the machine.
+/// Rendezvous hashing: each machine is served by the planners with the highest hashes.
 fn rendezvous(machines: &[u32], planners: &[u32], replicas: usize) -> Served {
     let serve = |&machine: &u32| {
         let mut order = planners.to_vec();
@@ -41,7 +43,7 @@
     machines.iter().map(serve).collect()
 }
 
-/// Rounds of planners, each of which deals out a shuffled list of all machines.
+/// Deterministic subsetting: each round of planners divides a shuffled list of all machines.
 fn deterministic(machines: &[u32], planners: &[u32], replicas: usize) -> Served {
     let mut served: Served = machines.iter().map(|&machine| (machine, BTreeSet::new())).collect();
     let parts = (planners.len() / replicas).max(1);
@@ -57,7 +59,8 @@
     served
 }
 
-/// A ring on which each machine takes the next planners that have room still.
+/// Consistent hashing with bounded loads: each machine takes the next planners on the ring that are below
+/// their bound.
 fn bounded(machines: &[u32], planners: &[u32], replicas: usize) -> Served {
     let points = planners
         .iter()
@@ -84,7 +87,7 @@
     served
 }
 
-/// Least and most of what each has, over the mean.
+/// Minimum and maximum divided by the mean.
 fn spread(values: &[f64]) -> (f64, f64) {
     let mean = values.iter().sum::<f64>() / values.len() as f64;
     let least = values.iter().copied().fold(f64::INFINITY, f64::min);
@@ -98,13 +101,14 @@
     parts
 }
 
-/// What comes to each machine, where all planners have as much to place and deal it out evenly.
+/// Load of each machine if all planners have equal load and spread it evenly over their subsets.
 fn loads(served: &Served) -> Vec<f64> {
     let parts = parts(served);
     served.values().map(|planners| planners.iter().map(|planner| 1.0 / parts[planner] as f64).sum()).collect()
 }
 
-/// Share of the pairs of machine and planner that are not there any more, of those that could have stayed.
+/// Share of the (machine, planner) assignments that are lost, among those whose machine and planner still
+/// exist.
 fn moved(before: &Served, after: &Served, planner_gone: Option<u32>) -> f64 {
     let stays = before.iter().filter_map(|(machine, planners)| Some((planners, after.get(machine)?)));
     let (mut all, mut gone) = (0, 0);
@@ -118,7 +122,7 @@
     gone as f64 / all as f64
 }
 
-fn trial(name: &str, way: Way, count: u32, replicas: usize) {
+fn print_row(name: &str, way: Way, count: u32, replicas: usize) {
     let (machines, planners): (Vec<u32>, Vec<u32>) = ((0..MACHINES).collect(), (0..count).collect());
     let served = way(&machines, &planners, replicas);
     let parts: Vec<f64> = parts(&served).into_values().map(|part| part as f64).collect();
@@ -155,7 +159,7 @@
     ];
     for (name, way) in ways {
         for count in PLANNERS {
-            REPLICAS.iter().for_each(|&replicas| trial(name, way, count, replicas));
+            REPLICAS.iter().for_each(|&replicas| print_row(name, way, count, replicas));
         }
     }
 }
--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -1,37 +1,38 @@
-//! Holds ledgers against the rules: no two attempts of a task out together, none past its number, none past its window.
+//! Checks ledgers against the rules for attempts: no two attempts of a job at the same time, no more attempts
+//! than allowed, and no repeat after the window has passed.
 
 use crate::node::{Ledger, What};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What the rules allow in a run.
+/// Limits that apply in a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowed {
-    /// Attempts of one ask.
+    /// Maximum number of attempts of one job.
     pub attempts: usize,
-    /// From the first send that may have run, for keyed asks.
+    /// How long a keyed job may be repeated, counted from its first attempt that may have run.
     pub window: Duration,
-    /// What times may differ by: a give-up and the next offer travel on different connections.
+    /// Tolerance for overlaps: a stop message and the next offer travel on different connections.
     pub slack: Duration,
 }
 
-/// A rule that was broken, in words.
-pub type Broken = String;
+/// Description of a broken rule.
+pub type Violation = String;
 
-/// What the ledgers of a run come to.
+/// The result of an audit.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Offers.
+    /// Number of offers.
     pub asks: usize,
-    /// Jobs that were offered at least once.
+    /// Number of jobs that were offered at least once.
     pub jobs: usize,
-    /// The most offers of one job.
+    /// Highest number of offers of one job.
     pub most_attempts: usize,
-    /// Broken rules; none in a good run.
-    pub broken: Vec<Broken>,
+    /// Violation rules; none in a good run.
+    pub broken: Vec<Violation>,
 }
 
-/// An attempt as its machine saw it.
+/// An attempt as its machine recorded it.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub node: usize,
@@ -39,42 +40,53 @@
     pub key: Option<String>,
     pub from: Duration,
     pub until: Duration,
-    /// The machine's own word ended it, so that its planner heard of it later.
-    pub by_word: bool,
+    /// The machine's own message ended it, so that the planner learned of the end later.
+    pub ended_by_machine: bool,
     may_have_run: bool,
 }
 
-/// The attempts of each job by all ledgers of a run, in the order of their times.
+/// The attempts of each job over all ledgers of a run, by start time.
 pub(crate) fn attempts(ledgers: &[Ledger], verdict: &mut Verdict) -> BTreeMap<u64, Vec<Attempt>> {
     let mut attempts: BTreeMap<u64, Vec<Attempt>> = BTreeMap::new();
     for (node, ledger) in ledgers.iter().enumerate() {
-        if ledger.passed_over > 0 {
-            verdict.broken.push(format!("{}: the ledger ran over, nothing is proved", ledger.node));
+        if ledger.entries_dropped > 0 {
+            verdict.broken.push(format!(
+                "{}: the ledger was full and dropped entries, the audit is incomplete",
+                ledger.node
+            ));
         }
-        // Attempts of this node that are open. A connection's end may be seen just after the next one's first offer, so
-        // that one job may be open on both; whether for too long is `together`'s to say.
+        // Attempts of this node that are open. A connection's end may be recorded just after the first offer
+        // on the next one, so that one job may be open on both; `check_overlap` decides whether that lasts
+        // too long.
         let mut open: BTreeMap<(u64, u64), Attempt> = BTreeMap::new();
-        let mut close = |attempt: Option<Attempt>, at: Duration, (ran, by_word): (bool, bool), job| {
-            let Some(mut attempt) = attempt else { return };
-            attempt.by_word = by_word && at <= attempt.until;
-            attempt.until = attempt.until.min(at);
-            attempt.may_have_run |= ran;
-            attempts.entry(job).or_default().push(attempt);
-        };
+        let mut close =
+            |attempt: Option<Attempt>, at: Duration, (ran, ended_by_machine): (bool, bool), job| {
+                let Some(mut attempt) = attempt else { return };
+                attempt.ended_by_machine = ended_by_machine && at <= attempt.until;
+                attempt.until = attempt.until.min(at);
+                attempt.may_have_run |= ran;
+                attempts.entry(job).or_default().push(attempt);
+            };
         for entry in &ledger.entries {
             let (at, job) = (entry.at, entry.job);
             let of = (job, entry.connection);
             match &entry.what {
                 What::Ask { class, key, left_ms, .. } => {
                     verdict.asks += 1;
-                    if let Some(twice) = open.remove(&of) {
-                        verdict.broken.push(format!("{}: job {job:016x} came twice", ledger.node));
-                        close(Some(twice), at, (true, false), job);
+                    if let Some(repeated) = open.remove(&of) {
+                        verdict.broken.push(format!(
+                            "{}: job {job:016x} was offered twice on one connection",
+                            ledger.node
+                        ));
+                        close(Some(repeated), at, (true, false), job);
                     }
                     let until = at + Duration::from_millis(*left_ms);
                     let (class, key) = (class.clone(), key.clone());
-                    let (by_word, may_have_run) = (false, false);
-                    open.insert(of, Attempt { node, class, key, from: at, until, by_word, may_have_run });
+                    let (ended_by_machine, may_have_run) = (false, false);
+                    open.insert(
+                        of,
+                        Attempt { node, class, key, from: at, until, ended_by_machine, may_have_run },
+                    );
                 }
                 What::Refused => close(open.remove(&of), at, (false, true), job),
                 What::Failed | What::Runs => close(open.remove(&of), at, (true, true), job),
@@ -99,7 +111,7 @@
     attempts
 }
 
-/// Looks all ledgers of a run over.
+/// Checks all ledgers of a run.
 pub fn audit(ledgers: &[Ledger], allowed: Allowed) -> Verdict {
     let mut verdict = Verdict::default();
     let attempts = attempts(ledgers, &mut verdict);
@@ -122,27 +134,29 @@
                 }
             }
         }
-        together(of_job.iter(), &format!("job {job:016x}"), allowed, &mut verdict.broken);
+        check_overlap(of_job.iter(), &format!("job {job:016x}"), allowed, &mut verdict.broken);
     }
     for (key, places) in by_key {
         let mut all: Vec<&Attempt> = places.iter().map(|(job, at)| &attempts[job][*at]).collect();
         all.sort_by_key(|a| a.from);
-        together(all.into_iter(), &format!("key {key}"), allowed, &mut verdict.broken);
+        check_overlap(all.into_iter(), &format!("key {key}"), allowed, &mut verdict.broken);
     }
     verdict
 }
 
-fn together<'a>(
+/// Reports attempts that overlap by more than the slack.
+fn check_overlap<'a>(
     attempts: impl Iterator<Item = &'a Attempt>,
     name: &str,
     allowed: Allowed,
-    broken: &mut Vec<Broken>,
+    broken: &mut Vec<Violation>,
 ) {
     let mut until: Option<(Duration, usize)> = None;
     for attempt in attempts {
         if let Some((end, node)) = until.filter(|(end, _)| *end > attempt.from + allowed.slack) {
             let over = end - attempt.from;
-            broken.push(format!("{name}: out at nodes {node} and {} together for {over:?}", attempt.node));
+            broken
+                .push(format!("{name}: attempts at nodes {node} and {} together for {over:?}", attempt.node));
         }
         if until.is_none_or(|(end, _)| end < attempt.until) {
             until = Some((attempt.until, attempt.node));
@@ -150,23 +164,23 @@
     }
 }
 
-/// How groups stood, by the ledgers alone.
+/// How groups ran, by the ledgers alone.
 #[derive(Clone, Debug, Default)]
 pub struct GroupVerdict {
-    /// Groups of which a member ran.
+    /// Number of groups of which a member ran.
     pub groups: usize,
-    /// How long each stood in part, every time that it did.
+    /// Each period in which a group ran only partially.
     pub partial: Vec<Duration>,
-    /// Members of which two copies ran together.
-    pub doubled: Vec<Broken>,
+    /// Members of which two copies ran at the same time.
+    pub doubled: Vec<Violation>,
 }
 
-/// Looks how groups stood: `of` gives the group, the member and the number of members from a description. A copy counts
-/// as gone once the order to cut it has come to its node, also where that does nothing for a while: it is unreachable
-/// then, and no planner can do more.
+/// Checks how groups ran; `parse_member` returns the group, the member and the number of members from a
+/// description. A copy counts as ended once the stop message has arrived at its node, even if the node is
+/// paused: a planner can do no more about an unresponsive node.
 pub fn groups(
     ledgers: &[Ledger],
-    of: impl Fn(&str) -> Option<(u64, usize, usize)>,
+    parse_member: impl Fn(&str) -> Option<(u64, usize, usize)>,
     slack: Duration,
 ) -> GroupVerdict {
     struct Copy {
@@ -178,8 +192,8 @@
     for ledger in ledgers {
         let mut places: BTreeMap<u64, (u64, usize, usize)> = BTreeMap::new();
         let mut running: BTreeMap<u64, Duration> = BTreeMap::new();
-        let mut told: BTreeMap<u64, Duration> = BTreeMap::new();
-        let mut done =
+        let mut stopped_at: BTreeMap<u64, Duration> = BTreeMap::new();
+        let mut record_copy =
             |job: u64, from: Duration, until: Duration, places: &BTreeMap<u64, (u64, usize, usize)>| {
                 if let Some(&(group, member, members)) = places.get(&job) {
                     let entry = all.entry(group).or_insert_with(|| (members, Vec::new()));
@@ -189,24 +203,24 @@
         for entry in &ledger.entries {
             match &entry.what {
                 What::Ask { body, .. } => {
-                    if let Some(place) = of(body) {
+                    if let Some(place) = parse_member(body) {
                         places.insert(entry.job, place);
                     }
-                    told.remove(&entry.job);
+                    stopped_at.remove(&entry.job);
                 }
                 What::Runs | What::RunsUntold => {
                     running.insert(entry.job, entry.at);
-                    if let Some(at) = told.get(&entry.job) {
+                    if let Some(at) = stopped_at.get(&entry.job) {
                         running.remove(&entry.job);
-                        done(entry.job, entry.at, entry.at.max(*at), &places);
+                        record_copy(entry.job, entry.at, entry.at.max(*at), &places);
                     }
                 }
                 What::Stopped | What::Ended | What::Lost | What::Cut => {
                     if let Some(from) = running.remove(&entry.job) {
-                        done(entry.job, from, entry.at, &places);
+                        record_copy(entry.job, from, entry.at, &places);
                     }
                     if entry.what == What::Stopped {
-                        told.insert(entry.job, entry.at);
+                        stopped_at.insert(entry.job, entry.at);
                     }
                 }
                 _ => {}
@@ -214,7 +228,7 @@
         }
         let end = ledger.entries.last().map_or(Duration::ZERO, |e| e.at);
         for (job, from) in running {
-            done(job, from, end, &places);
+            record_copy(job, from, end, &places);
         }
     }
     let mut verdict = GroupVerdict { groups: all.len(), ..GroupVerdict::default() };
@@ -228,14 +242,14 @@
             let until = last.entry(copy.member).or_default();
             *until = (*until).max(copy.until);
         }
-        // Every change of what runs, in order; ends before starts at the same time.
+        // All starts and ends in order; at the same time, ends come before starts.
         let mut changes: Vec<(Duration, bool, usize)> = Vec::new();
         for copy in &copies {
             changes.extend([(copy.from, true, copy.member), (copy.until, false, copy.member)]);
         }
         changes.sort_by_key(|&(at, starts, _)| (at, starts));
         let mut runs: BTreeMap<usize, u32> = BTreeMap::new();
-        let (mut since, mut whole) = (None, false);
+        let (mut since, mut complete) = (None, false);
         for (at, starts, member) in changes {
             match starts {
                 true => *runs.entry(member).or_default() += 1,
@@ -245,12 +259,12 @@
                     runs.retain(|_, count| *count > 0);
                 }
             }
-            // Once it stood whole, members end as their lives do.
-            whole = (whole && !runs.is_empty()) || runs.len() == members;
-            if since.is_none() && !runs.is_empty() && !whole {
+            // Once all members have run together, each may end by itself.
+            complete = (complete && !runs.is_empty()) || runs.len() == members;
+            if since.is_none() && !runs.is_empty() && !complete {
                 since = Some(at);
             }
-            if runs.is_empty() || whole {
+            if runs.is_empty() || complete {
                 verdict.partial.extend(since.take().map(|from: Duration| at - from));
             }
         }
--- a/lab/src/audit/tests.rs
+++ b/lab/src/audit/tests.rs
@@ -5,7 +5,9 @@
 
 fn ledger(entries: &[(u64, u64, What)]) -> Ledger {
     let mut ledger = Ledger { node: "n".into(), ..Ledger::default() };
-    entries.iter().for_each(|(ms, job, what)| ledger.book(Duration::from_millis(*ms), *job, 1, what.clone()));
+    entries
+        .iter()
+        .for_each(|(ms, job, what)| ledger.record(Duration::from_millis(*ms), *job, 1, what.clone()));
     ledger
 }
 
@@ -13,7 +15,7 @@
     What::Ask { class: "keyed".into(), key: Some("k".into()), left_ms, body: String::new() }
 }
 
-/// Guards the auditor of groups: partial times are counted from the first start to the whole or the last cut.
+/// Partial times are counted from the first start until the group is complete or its last member is stopped.
 #[test]
 fn partial_times_are_counted() {
     let of = |body: &str| {
@@ -21,11 +23,11 @@
         Some((parts.next()? as u64, parts.next()?, parts.next()?))
     };
     let ask = |body: &str| What::Ask { class: "c".into(), key: None, left_ms: 900, body: body.into() };
-    let whole = [
+    let complete = [
         ledger(&[(0, 1, ask("7 0 2")), (10, 1, What::Runs), (900, 1, What::Ended)]),
         ledger(&[(0, 2, ask("7 1 2")), (60, 2, What::Runs), (2000, 2, What::Ended)]),
     ];
-    let verdict = groups(&whole, of, Duration::from_millis(50));
+    let verdict = groups(&complete, of, Duration::from_millis(50));
     assert_eq!((verdict.groups, verdict.partial), (1, vec![Duration::from_millis(50)]));
     let cut = [
         ledger(&[(0, 1, ask("7 0 2")), (10, 1, What::Runs), (1500, 1, What::Stopped), (1900, 1, What::Cut)]),
@@ -44,7 +46,7 @@
     assert_eq!(groups(&over, of, Duration::ZERO).doubled.len(), 1);
 }
 
-/// Guards the auditor itself: what breaks a rule is seen, and what keeps it is not called broken.
+/// The auditor reports each broken rule, and nothing where all rules are kept.
 #[test]
 fn broken_rules_are_seen() {
     let quiet = [
@@ -58,7 +60,7 @@
             "together",
         ),
         (vec![ledger(&[(0, 1, ask(100))]), ledger(&[(7000, 1, ask(100))])], "repeated after"),
-        (vec![ledger(&[(0, 1, ask(1000))]), ledger(&[(500, 2, ask(10))])], "key k: out"),
+        (vec![ledger(&[(0, 1, ask(1000))]), ledger(&[(500, 2, ask(10))])], "key k: attempts"),
         (
             vec![ledger(&[
                 (0, 1, ask(9)),
--- a/lab/src/commands/brownout.rs
+++ b/lab/src/commands/brownout.rs
@@ -1,4 +1,4 @@
-//! A brown-out with and without a budget of further tries.
+//! Compares a brown-out with and without a retry budget.
 
 use burlhook_lab::planner::Program;
 use burlhook_lab::rigs::brownout;
@@ -6,39 +6,39 @@
 use std::io;
 use std::path::PathBuf;
 
-/// What the command is told.
+/// Arguments of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// The planner's program; this one's own planner if absent.
+    /// Path of the planner's program; the built-in planner if absent.
     #[arg(long)]
     planner: Option<PathBuf>,
-    /// Further tries for each first one.
+    /// Allowed retries per first attempt.
     #[arg(long, default_value_t = 0.2)]
     budget: f64,
-    /// Seeds, one run each.
+    /// Number of seeds, one run each.
     #[arg(long, default_value_t = 3)]
     seeds: u64,
 }
 
-/// Carries it out; tells whether all was well.
+/// Runs the command; returns whether all checks passed.
 pub fn run(arguments: Arguments) -> io::Result<bool> {
     let Arguments { planner, budget, seeds } = arguments;
     let program = Program::or_own(planner)?;
-    let mut well = true;
+    let mut passed = true;
     for seed in 1..=seeds {
         for budget in [None, Some(budget)] {
             let report = brownout::run(&program, &brownout::Options { budget, seed, ..Default::default() })?;
             println!(
-                "seed {seed} budget {budget:?}: offers {} ({} further), ran {}, placed {:.3} of all, \
+                "seed {seed} budget {budget:?}: offers {} ({} retries), ran {}, placed {:.3} of all, \
                  broken rules {}",
-                report.asks,
-                report.further,
+                report.offers,
+                report.retries,
                 report.ran,
                 report.placed(),
                 report.verdict.broken.len()
             );
-            well &= report.verdict.broken.is_empty();
+            passed &= report.verdict.broken.is_empty();
         }
     }
-    Ok(well)
+    Ok(passed)
 }
--- a/lab/src/commands/budgets.rs
+++ b/lab/src/commands/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of the whole fleet under faults.
+//! Checks budgets of the whole fleet under faults.
 
 use burlhook::document;
 use burlhook_lab::net::Schedule;
@@ -9,64 +9,64 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What the command is told.
+/// Arguments of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// The planner's program; this one's own planner if absent.
+    /// Path of the planner's program; the built-in planner if absent.
     #[arg(long)]
     planner: Option<PathBuf>,
-    /// Planners.
+    /// Number of planners.
     #[arg(long, default_value_t = 8)]
     planners: usize,
-    /// Machines.
+    /// Number of machines.
     #[arg(long, default_value_t = 20)]
     nodes: usize,
-    /// Asks a second, over all planners.
+    /// Requests per second, over all planners.
     #[arg(long, default_value_t = 900.0)]
     rate: f64,
-    /// Seconds.
+    /// Duration in seconds.
     #[arg(long, default_value_t = 30)]
     seconds: u64,
-    /// Of its part, what a planner may use without hearing anyone.
+    /// Share of its part that a planner may use without contact to others.
     #[arg(long, default_value_t = 0.5)]
     floor: f64,
-    /// Milliseconds of a lease.
+    /// Duration of a lease in milliseconds.
     #[arg(long, default_value_t = 3000)]
     lease_ms: u64,
-    /// Planners that vote; 0 where everything is floor.
+    /// Number of voters; 0 if parts need no leases.
     #[arg(long, default_value_t = 3)]
     voters: usize,
     /// How budgets are set up.
     #[arg(long, value_enum, default_value = "fleet")]
     way: WayName,
-    /// A schedule of faults in JSON5; drawn by the seed if absent.
+    /// Path of a fault schedule in JSON5; drawn from the seed if absent.
     #[arg(long)]
     schedule: Option<PathBuf>,
-    /// No faults at all.
+    /// Run without faults.
     #[arg(long)]
     calm: bool,
-    /// Seed of machines, load, network and faults.
+    /// Seed for machines, load, network and faults.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The report as JSON.
+    /// Print the report as JSON.
     #[arg(long)]
     json: bool,
-    /// Jobs in flight by tenths of a second, too.
+    /// Also print the jobs in flight for each tenth of a second.
     #[arg(long)]
     trace: bool,
 }
 
 #[derive(Clone, Copy, clap::ValueEnum)]
 enum WayName {
-    /// Divided by the fleet.
+    /// Divided by the fleet with leases.
     Fleet,
-    /// An equal part at each planner, for good.
+    /// A fixed equal part at each planner.
     Parts,
-    /// The whole at each planner.
+    /// The whole budget at each planner.
     Each,
 }
 
-/// Carries it out; tells whether all was well.
+/// Runs the command; returns whether all checks passed.
 pub fn run(arguments: Arguments) -> io::Result<bool> {
     let Arguments {
         planner,
@@ -127,20 +127,20 @@
     for (end, count) in &report.ends {
         println!("  {end:?} {count}");
     }
-    println!("turned away and told when: {}; planners started: {}", report.told_when, report.starts);
+    println!("rejected with a retry time: {}; planners started: {}", report.told_when, report.starts);
     println!(
-        "most in flight {}; used {:.3} of the jobs in flight, {:.3} of the rate; worst window {:.1}",
+        "max in flight {}; mean use: {:.3} of the limit in flight, {:.3} of the rate; worst window {:.1}",
         report.most_in_flight, report.used.0, report.used.1, report.window
     );
     println!(
-        "said by each planner: {:.1} datagrams, {:.0} bytes a second; CPU {:.0} ms for 1,000 asks",
-        report.said.0, report.said.1, report.cpu_ms
+        "sent by each planner: {:.1} datagrams/s, {:.0} bytes/s; CPU {:.0} ms per 1,000 requests",
+        report.sent_per_s.0, report.sent_per_s.1, report.cpu_ms
     );
     for (at, (all, of)) in report.flight.iter().enumerate().filter(|_| trace) {
         let each: Vec<String> = of.iter().map(|n| format!("{n:.1}")).collect();
         println!("{:>6.1} s {all:>6.1}  {}", at as f64 / 10.0, each.join(" "));
     }
-    println!("broken: {}", report.broken.len());
+    println!("broken rules: {}", report.broken.len());
     report.broken.iter().take(10).for_each(|b| println!("  {b}"));
-    report.unused.iter().for_each(|u| println!("not used: {u}"));
+    report.unused.iter().for_each(|u| println!("budget not used: {u}"));
 }
--- a/lab/src/commands/fleet.rs
+++ b/lab/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! Planners over more machines than descriptors, or that share a fault.
+//! Runs planners with more machines than descriptors, or with a shared fault.
 
 use burlhook_lab::load::End;
 use burlhook_lab::planner::Program;
@@ -8,39 +8,39 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What the command is told.
+/// Arguments of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// The planner's program; this one's own planner if absent.
+    /// Path of the planner's program; the built-in planner if absent.
     #[arg(long)]
     planner: Option<PathBuf>,
-    /// Planners.
+    /// Number of planners.
     #[arg(long, default_value_t = 1)]
     planners: usize,
-    /// Machines.
+    /// Number of machines.
     #[arg(long, default_value_t = 400)]
     nodes: usize,
-    /// Descriptors of each planner.
+    /// Limit on file descriptors of each planner.
     #[arg(long, default_value_t = 256)]
     sockets: u32,
-    /// Planners that the settings tell of.
+    /// Number of planners according to the settings.
     #[arg(long, default_value_t = 16)]
     listed: u32,
-    /// Asks a second, over all planners.
+    /// Requests per second, over all planners.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
-    /// Seconds.
+    /// Duration in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// All connections to machines are reset at half of the time.
+    /// Reset all connections to machines at half time.
     #[arg(long)]
     reset: bool,
-    /// Seed of nodes and load.
+    /// Seed for nodes and load.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Carries it out; tells whether all was well.
+/// Runs the command; returns whether all checks passed.
 pub fn run(arguments: Arguments) -> io::Result<bool> {
     let Arguments { planner, planners, nodes, sockets, listed, rate, seconds, reset, seed } = arguments;
     let span = Duration::from_secs(seconds);
@@ -56,14 +56,20 @@
     let asked: u64 = report.tallies.iter().map(|t| t.asked).sum();
     let twice: u64 = report.tallies.iter().map(|t| t.twice).sum();
     println!(
-        "asked {asked} placed {} unanswered {} twice {twice}",
+        "requests {asked} placed {} unanswered {} answered twice {twice}",
         report.count(End::Placed),
         report.count(End::Unanswered)
     );
     let late = [0.5, 0.99, 1.0].map(|share| report.late(share));
-    println!("ends told after p50 {} p99 {} most {} ms; untold {}", late[0], late[1], late[2], report.untold);
+    println!(
+        "task ends reported after p50 {} p99 {} max {} ms; unreported {}",
+        late[0], late[1], late[2], report.untold
+    );
     let ticks: u64 = report.used.iter().map(|u| u.cpu_ticks).sum();
     let peak = report.used.iter().map(|u| u.peak_kib).max().unwrap_or_default();
     println!("descriptors {} CPU {} ms peak {peak} KiB", report.descriptors, ticks * 10);
-    println!("connections in 2 s and in the worst tenth: start {:?}, fault {:?}", report.start, report.fault);
+    println!(
+        "connections in 2 s and in the worst tenth of a second: start {:?}, fault {:?}",
+        report.start, report.fault
+    );
 }
--- a/lab/src/commands/mod.rs
+++ b/lab/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, a module each: what it is told, and what it prints.
+//! The commands, one module each, with their arguments and output.
 
 pub mod brownout;
 pub mod budgets;
--- a/lab/src/commands/node.rs
+++ b/lab/src/commands/node.rs
@@ -1,4 +1,4 @@
-//! One stand-in node.
+//! Runs one stand-in node.
 
 use burlhook_lab::node::{Node, Plan};
 use burlhook_lab::Clock;
@@ -6,33 +6,33 @@
 use std::io;
 use std::time::Duration;
 
-/// What the command is told.
+/// Arguments of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// Where it listens, on loopback.
+    /// Loopback address to listen on.
     #[arg(default_value = "127.0.0.1:7001")]
     listen: String,
-    /// Share of asks that it refuses.
+    /// Share of offers that are refused.
     #[arg(long, default_value_t = 0.0)]
     refuse: f64,
-    /// Seed of what is drawn.
+    /// Seed of the random generator.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Carries it out; tells whether all was well.
+/// Runs the command; returns whether all checks passed.
 pub fn run(arguments: Arguments) -> io::Result<bool> {
     let Arguments { listen, refuse, seed } = arguments;
     let plan = Plan { name: listen.clone(), seed, refuse, ..Plan::default() };
     let node = Node::start(&listen, plan, Clock::start())?;
     println!("a stand-in node listens on {}", node.address());
-    let mut shown = 0;
+    let mut printed = 0;
     loop {
         std::thread::sleep(Duration::from_millis(200));
         let ledger = node.ledger();
-        for entry in &ledger.entries[shown..] {
+        for entry in &ledger.entries[printed..] {
             println!("{:>9.3} {:016x} {:?}", entry.at.as_secs_f64(), entry.job, entry.what);
         }
-        shown = ledger.entries.len();
+        printed = ledger.entries.len();
     }
 }
--- a/lab/src/commands/reload.rs
+++ b/lab/src/commands/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads under load.
+//! Reloads the operators' file under load.
 
 use burlhook_lab::load::End;
 use burlhook_lab::planner::Program;
@@ -8,33 +8,33 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What the command is told.
+/// Arguments of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// The planner's program; this one's own planner if absent.
+    /// Path of the planner's program; the built-in planner if absent.
     #[arg(long)]
     planner: Option<PathBuf>,
-    /// The operators' file is the older program's TOML: no limits, no reloads of it.
+    /// Use the older program's TOML file, which has no limits and is not reloaded.
     #[arg(long)]
     older: bool,
-    /// Without limits in the file.
+    /// Use a file without limits, and no reloads.
     #[arg(long)]
     plain: bool,
     /// Milliseconds between reloads; 0 for none.
     #[arg(long, default_value_t = 100)]
     every_ms: u64,
-    /// Asks a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 400.0)]
     rate: f64,
-    /// Seconds.
+    /// Duration in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Seed of nodes and load.
+    /// Seed for nodes and load.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Carries it out; tells whether all was well.
+/// Runs the command; returns whether all checks passed.
 pub fn run(arguments: Arguments) -> io::Result<bool> {
     let Arguments { planner, older, plain, every_ms, rate, seconds, seed } = arguments;
     let mut program = Program::or_own(planner)?;
@@ -59,16 +59,21 @@
 fn print_reload(report: &reload::Report) {
     let reload::Report { tally, verdict, used, reloads, in_force } = report;
     let ms = |h: &hdrhistogram::Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
-    println!("asked {} answered {} twice {}", tally.asked, tally.answered(), tally.twice);
+    println!("requests {} answered {} answered twice {}", tally.asked, tally.answered(), tally.twice);
     for (end, count) in &tally.ends {
         println!("  {end:?} {count}");
     }
     let (p, t) = (&tally.placed_us, &tally.turned_us);
     println!("placed ms: p50 {:.1} p99 {:.1} max {:.1}", ms(p, 0.5), ms(p, 0.99), p.max() as f64 / 1e3);
-    println!("turned away ms: p50 {:.1} p99 {:.1}, told when {}", ms(t, 0.5), ms(t, 0.99), tally.told_when);
+    println!(
+        "rejected ms: p50 {:.1} p99 {:.1}, with a retry time {}",
+        ms(t, 0.5),
+        ms(t, 0.99),
+        tally.told_when
+    );
     println!("planner: peak {} KiB, cpu {:.2} s", used.peak_kib, used.cpu_ticks as f64 / 100.0);
     println!("reloads {reloads}, generation {}", in_force["generation"]);
-    println!("offers {} for {} jobs, most {} for one", verdict.asks, verdict.jobs, verdict.most_attempts);
+    println!("offers {} for {} jobs, max {} per job", verdict.asks, verdict.jobs, verdict.most_attempts);
     println!("broken rules: {}", verdict.broken.len());
     verdict.broken.iter().take(10).for_each(|b| println!("  {b}"));
 }
--- a/lab/src/commands/twin.rs
+++ b/lab/src/commands/twin.rs
@@ -6,47 +6,47 @@
 use std::io;
 use std::time::Duration;
 
-/// What the command is told.
+/// Arguments of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// Planners; drawn by each seed if absent.
+    /// Number of planners; drawn from each seed if absent.
     #[arg(long)]
     planners: Option<usize>,
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many.
+    /// Number of seeds.
     #[arg(long, default_value_t = 100)]
     seeds: u64,
-    /// Simulated seconds of each.
+    /// Simulated seconds per seed.
     #[arg(long, default_value_t = 30)]
     seconds: u64,
-    /// Milliseconds of a lease, for handovers.
+    /// Duration of a lease in milliseconds, for handovers.
     #[arg(long, default_value_t = 3000)]
     lease_ms: u64,
-    /// How long parts are idle, instead of drawn faults.
+    /// Measure how long parts are idle, instead of drawn faults.
     #[arg(long)]
     handovers: bool,
 }
 
-/// Carries it out; tells whether all was well.
+/// Runs the command; returns whether all checks passed.
 pub fn run(arguments: Arguments) -> io::Result<bool> {
     let Arguments { planners, seed, seeds, seconds, lease_ms, handovers } = arguments;
     if handovers {
         print_handovers(planners.unwrap_or(8), lease_ms, seeds);
         return Ok(true);
     }
-    let mut well = true;
+    let mut passed = true;
     for seed in seed..seed + seeds {
         let mut twin = twin::Twin::new(twin::rough(seed, planners, seconds));
         twin.run(Duration::from_secs(seconds));
         if let Some(broken) = &twin.broken {
             println!("seed {seed}: {broken}");
-            well = false;
+            passed = false;
         }
     }
-    println!("{seeds} seeds of {seconds} s");
-    Ok(well)
+    println!("{seeds} seeds of {seconds} s each");
+    Ok(passed)
 }
 
 fn print_handovers(planners: usize, lease_ms: u64, seeds: u64) {
@@ -58,6 +58,9 @@
         let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
         println!("{name}: p50 {:?} p99 {:?} ms", at(0.5), at(0.99));
     };
-    show("from a death to its part in use elsewhere", all.iter().map(|(used, _)| *used).collect());
-    show("from a start to a fair part", all.iter().map(|(_, back)| *back).collect());
+    show("from a planner's death until others use its part", all.iter().map(|(used, _)| *used).collect());
+    show(
+        "from a planner's start until it has a fair part",
+        all.iter().map(|(_, restored)| *restored).collect(),
+    );
 }
--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -1,14 +1,14 @@
-//! Holds what was seen outside of planners against budgets of the whole fleet: ledgers of machines and logs of clients, and
-//! nothing that a planner says of itself.
+//! Checks budgets of the whole fleet from evidence outside the planners: the machines' ledgers and the
+//! clients' logs. The planners' own figures are not used.
 
 use std::time::Duration;
 
-/// Spans in which something was in use for certain.
+/// Time spans in which something was certainly in use.
 pub type Spans = Vec<(Duration, Duration)>;
 
-/// The most spans at one instant, and when that was first.
+/// Highest number of concurrent spans, and the first time at which it occurs.
 pub fn most_at_once(spans: &Spans) -> (usize, Duration) {
-    // What ends at an instant is over before what begins at it.
+    // At the same instant, ends come before begins.
     let mut edges: Vec<(Duration, bool)> = spans
         .iter()
         .filter(|(from, until)| from < until)
@@ -25,20 +25,21 @@
     most
 }
 
-/// The mean number of spans that are open between two times.
+/// Mean number of concurrent spans between two times.
 pub fn mean_at_once(spans: &Spans, (from, until): (Duration, Duration)) -> f64 {
     let inside = |&(a, b): &(Duration, Duration)| b.min(until).saturating_sub(a.max(from)).as_secs_f64();
     spans.iter().map(inside).sum::<f64>() / until.saturating_sub(from).as_secs_f64().max(1e-9)
 }
 
-/// The greatest excess of things that each happened within a span over `burst + per_s × length`, over all windows: above 0
-/// only if some window saw too many for certain, wherever in its span each of them was.
+/// Greatest excess of events over `burst + per_s × length`, over all windows. Each event happened somewhere
+/// within its span, and a window counts only events whose whole span lies in it; so a result above 0 proves a
+/// broken rate.
 pub fn worst_window(spans: &Spans, per_s: f64, burst: f64) -> f64 {
     let mut begins: Vec<Duration> = spans.iter().map(|s| s.0).collect();
     begins.sort_unstable();
     let mut by_end: Spans = spans.clone();
     by_end.sort_unstable_by_key(|s| s.1);
-    // For each beginning of a window: what happened in it so far, and the rate's claim on it.
+    // For each window start: the events in the window so far, plus `per_s` times the start.
     let mut tree = Tree::new(begins.iter().map(|at| per_s * at.as_secs_f64()).collect());
     let mut worst = f64::NEG_INFINITY;
     for (from, until) in by_end {
@@ -49,7 +50,7 @@
     worst
 }
 
-/// Maxima over prefixes, where whole prefixes grow by one (a segment tree with pending additions).
+/// Prefix maxima under additions of one to whole prefixes (a segment tree with lazy additions).
 struct Tree {
     size: usize,
     most: Vec<f64>,
@@ -67,7 +68,7 @@
         Tree { size, most, pending: vec![0.0; 2 * size] }
     }
 
-    /// Adds one to the first so many.
+    /// Adds one to the first `count` values.
     fn add(&mut self, count: usize) {
         self.add_in(1, 0, self.size, count);
     }
@@ -86,7 +87,7 @@
         self.most[at] = self.most[2 * at].max(self.most[2 * at + 1]) + self.pending[at];
     }
 
-    /// The greatest of the first so many.
+    /// Maximum of the first `count` values.
     fn most(&self, count: usize) -> f64 {
         self.most_in(1, 0, self.size, count)
     }
--- a/lab/src/judge/tests.rs
+++ b/lab/src/judge/tests.rs
@@ -4,7 +4,7 @@
     Duration::from_millis(ms)
 }
 
-/// Guards the judge itself: what is too much is seen, what is just enough is not called too much.
+/// Concurrency counts spans that overlap, but neither adjoining nor empty ones.
 #[test]
 fn too_many_at_once_are_seen() {
     let spans = vec![(ms(0), ms(10)), (ms(10), ms(20)), (ms(5), ms(15)), (ms(7), ms(7))];
@@ -12,11 +12,11 @@
     assert!((mean_at_once(&spans, (ms(0), ms(20))) - 1.5).abs() < 1e-9);
 }
 
-/// Guards the judge of rates against a second way of counting, over all windows.
+/// The rate check agrees with a naive count over all windows, and accepts exactly the allowed rate.
 #[test]
 fn too_many_in_a_window_are_seen() {
     let at = |times: &[u64]| -> Spans { times.iter().map(|&t| (ms(t), ms(t + 3))).collect() };
-    // Two at once and one each 100 ms: 10 a second with a burst of 2.
+    // Two at the same time and one each 100 ms: 10 per second with a burst of 2.
     let kept = at(&[0, 0, 100, 200, 300, 900, 900, 1000]);
     assert!(worst_window(&kept, 10.0, 2.0) <= 0.0, "{}", worst_window(&kept, 10.0, 2.0));
     let broken = at(&[0, 0, 100, 200, 300, 900, 900, 950]);
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,6 +1,7 @@
-//! The laboratory: a stand-in node that speaks the platform's box protocol and fails by script or by seed, a ledger of
-//! all that it was asked, an auditor of ledgers, owners on both fronts, and rigs that put them together around a
-//! planner. Everything stays on loopback addresses, is bounded in count and time, and ends by itself.
+//! The laboratory: a stand-in node that speaks the platform's machine protocol and fails by script or at
+//! random, a ledger of the offers that it received, an auditor of ledgers, load generators for both fronts,
+//! and experiments (`rigs`) that combine them with a planner. Everything stays on loopback addresses, is
+//! bounded in count and time, and ends by itself.
 
 pub mod audit;
 pub mod capacity;
@@ -14,7 +15,7 @@
 
 use std::time::{Duration, Instant};
 
-/// One clock for all parts of a rig, so that what different nodes booked can be compared.
+/// One clock for all parts of an experiment, so that times in different nodes' ledgers can be compared.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
@@ -24,7 +25,7 @@
         Clock(Instant::now())
     }
 
-    /// A moment in its time.
+    /// The time from the clock's start to `moment`.
     pub fn at(&self, moment: Instant) -> Duration {
         moment.saturating_duration_since(self.0)
     }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -1,4 +1,5 @@
-//! Load on both fronts of a planner, evenly paced, whatever the answers: every ask is booked with what came of it.
+//! Open-loop load on both fronts of a planner: requests are evenly paced, independent of the answers, and the
+//! outcome of each is recorded.
 
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -20,80 +21,81 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-/// Count. Connections to the platform's front.
-const OWNERS: usize = 8;
-/// Between two looks of a pour, and the patience of its dials.
-const TURN: Duration = Duration::from_millis(5);
-/// Microseconds. The longest time that is told apart.
-const LONGEST_US: u64 = 120_000_000;
+/// Count. Connections to the platform front.
+const CONNECTIONS: usize = 8;
+/// Interval at which a controlled load sends what is due, and its timeout for connecting.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Microseconds. The longest time that histograms record; longer ones count as this.
+const MAX_RECORDED_US: u64 = 120_000_000;
 
-/// What is asked.
+/// The shape of a load.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Asks a second.
+    /// Requests per second.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the load.
     pub span: Duration,
-    /// Share of asks that come through the REST front.
+    /// Share of requests that use the REST front.
     pub rest: f64,
-    /// Share of keyed asks.
+    /// Share of requests with an idempotency key.
     pub keyed: f64,
-    /// How long each waits.
+    /// Deadline of each job.
     pub deadline: Duration,
-    /// Services asked for, by turns.
+    /// Services that are requested in turn.
     pub services: Vec<String>,
     /// Seed of the mix.
     pub seed: u64,
-    /// Cores and memory that each asks for.
+    /// Cores and memory of each job.
     pub room: (f64, f64),
-    /// Beyond the deadline, so long an answer is waited for.
+    /// How long to wait for an answer after the deadline.
     pub patience: Duration,
-    /// Ids on the platform's front follow this one; loads beside each other must not share any.
+    /// Job ids on the platform front start after this one; concurrent loads must not share ids.
     pub ids_after: u64,
-    /// So long after the last answer the releases of what stands are heard.
+    /// How long after the last answer releases of running tasks are still received.
     pub hear_on: Duration,
 }
 
-/// How an ask ended.
+/// The final outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
-    /// It runs.
+    /// The task runs.
     Placed,
-    /// No machine took it, or its time was up.
+    /// No machine accepted it, or its deadline passed.
     Refused,
-    /// A limit turned it away, or the planner was full.
+    /// Rejected by a limit, or because the planner was full.
     TurnedAway,
     /// It may have run.
     Failed,
-    /// Nothing came, or what came could not be read.
+    /// No answer came, or it could not be parsed.
     Unanswered,
 }
 
-/// What came of a load.
+/// The results of a load.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// Asks by their end.
+    /// Number of requests by outcome.
     pub ends: BTreeMap<End, u64>,
-    /// Asks.
+    /// Number of requests.
     pub asked: u64,
-    /// Second answers, which no ask may have.
+    /// Number of second final answers, which no request may have.
     pub twice: u64,
-    /// Of those turned away, how many were told when to come back.
+    /// Number of rejected requests whose answer contains a retry time.
     pub told_when: u64,
-    /// When the end of a task that stood was told on the platform's front, by its id.
+    /// Releases of running tasks on the platform front: job id and time of arrival.
     pub released: Vec<(u64, Instant)>,
-    /// Bytes of messages to the platform's front, and from it.
+    /// Bytes sent to the platform front, and received from it.
     pub bytes: (u64, u64),
-    /// Microseconds until the answer of those that were placed.
+    /// Microseconds to the answer of placed requests.
     pub placed_us: Histogram<u64>,
-    /// Microseconds until the answer of those that were turned away.
+    /// Microseconds to the answer of rejected requests.
     pub turned_us: Histogram<u64>,
 }
 
 impl Tally {
     fn new() -> Tally {
-        // The bounds are constants that the histogram takes.
-        let histogram = || Histogram::new_with_bounds(1, LONGEST_US, 3).unwrap_or_else(|_| unreachable!());
+        // These constant bounds are always valid.
+        let histogram =
+            || Histogram::new_with_bounds(1, MAX_RECORDED_US, 3).unwrap_or_else(|_| unreachable!());
         Tally {
             ends: BTreeMap::new(),
             asked: 0,
@@ -106,20 +108,20 @@
         }
     }
 
-    /// Asks with an end.
+    /// Number of requests with this outcome.
     pub fn count(&self, end: End) -> u64 {
         self.ends.get(&end).copied().unwrap_or(0)
     }
 
-    /// Asks with exactly one final answer.
+    /// Number of requests that were answered.
     pub fn answered(&self) -> u64 {
         self.asked - self.count(End::Unanswered)
     }
 
-    fn book(&mut self, end: End, took: Duration, told_when: bool) {
+    fn record(&mut self, end: End, took: Duration, told_when: bool) {
         self.asked += 1;
         *self.ends.entry(end).or_default() += 1;
-        let micros = (took.as_micros() as u64).clamp(1, LONGEST_US);
+        let micros = (took.as_micros() as u64).clamp(1, MAX_RECORDED_US);
         match end {
             End::Placed => self.placed_us.saturating_record(micros),
             End::TurnedAway => self.turned_us.saturating_record(micros),
@@ -131,24 +133,24 @@
 
 type Shared = Arc<Mutex<Tally>>;
 
-fn with<T>(tally: &Shared, what: impl FnOnce(&mut Tally) -> T) -> T {
+fn with_tally<T>(tally: &Shared, what: impl FnOnce(&mut Tally) -> T) -> T {
     what(&mut tally.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// Asks as the shape says, and waits for the last answer.
+/// Runs a load of this shape and waits for the last answer.
 ///
 /// # Errors
-/// If a front cannot be reached at all.
+/// If the platform front cannot be reached.
 pub fn run(shape: &Shape, owners: SocketAddr, rest: Option<SocketAddr>) -> io::Result<Tally> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(ask_all(shape, owners, rest))
+    runtime.block_on(send_all(shape, owners, rest))
 }
 
-async fn ask_all(shape: &Shape, owners: SocketAddr, rest: Option<SocketAddr>) -> io::Result<Tally> {
+async fn send_all(shape: &Shape, owners: SocketAddr, rest: Option<SocketAddr>) -> io::Result<Tally> {
     let tally: Shared = Arc::new(Mutex::new(Tally::new()));
-    let mut links = Vec::new();
-    for _ in 0..OWNERS {
-        links.push(Owner::connect(owners, tally.clone()).await?);
+    let mut connections = Vec::new();
+    for _ in 0..CONNECTIONS {
+        connections.push(Owner::connect(owners, tally.clone()).await?);
     }
     let client = client();
     let mut rng = Pcg64Mcg::seed_from_u64(shape.seed);
@@ -160,7 +162,7 @@
         let keyed = rng.gen_bool(shape.keyed);
         let service_number = number as usize % shape.services.len();
         let rest = rest.filter(|_| rng.gen_bool(shape.rest));
-        let ask = Ask {
+        let request = JobRequest {
             class: if keyed { "keyed" } else { "stateless" },
             key: keyed.then(|| format!("{:016x}{number:016x}", shape.seed)),
             service: shape.services[service_number].clone(),
@@ -175,19 +177,19 @@
                 let client = client.clone();
                 tokio::spawn(async move {
                     let from = Instant::now();
-                    let answer = tokio::time::timeout(patience, by_rest(&client, rest, &ask)).await;
-                    let (end, told) = answer.unwrap_or((End::Unanswered, false));
-                    with(&tally, |t| t.book(end, from.elapsed(), told));
+                    let answer = tokio::time::timeout(patience, ask_by_rest(&client, rest, &request)).await;
+                    let (end, told_when) = answer.unwrap_or((End::Unanswered, false));
+                    with_tally(&tally, |t| t.record(end, from.elapsed(), told_when));
                 })
             }
             None => {
-                let link = links[number as usize % OWNERS].clone();
+                let connection = connections[number as usize % CONNECTIONS].clone();
                 let id = shape.ids_after + number + 1;
                 tokio::spawn(async move {
                     let from = Instant::now();
-                    let answer = tokio::time::timeout(patience, link.ask(id, &ask)).await;
-                    let (end, told) = answer.unwrap_or((End::Unanswered, false));
-                    with(&tally, |t| t.book(end, from.elapsed(), told));
+                    let answer = tokio::time::timeout(patience, connection.request(id, &request)).await;
+                    let (end, told_when) = answer.unwrap_or((End::Unanswered, false));
+                    with_tally(&tally, |t| t.record(end, from.elapsed(), told_when));
                 })
             }
         });
@@ -196,87 +198,89 @@
         let _ = task.await;
     }
     tokio::time::sleep(shape.hear_on).await;
-    Ok(with(&tally, |t| t.clone()))
+    Ok(with_tally(&tally, |t| t.clone()))
 }
 
-/// An ask as its client saw it.
+/// A request as its client recorded it.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// Its id, as in the machines' ledgers.
+    /// The job id, as in the machines' ledgers.
     pub id: u64,
-    /// Whether it has a key.
+    /// Whether it has an idempotency key.
     pub keyed: bool,
     /// When it was sent.
     pub sent: Instant,
-    /// When its answer came, or nothing was expected any more.
+    /// When the answer came, or the wait for it timed out.
     pub answered: Instant,
-    /// What the answer was.
+    /// The outcome.
     pub end: End,
-    /// Whether a time to come back was told.
+    /// Whether the answer contains a retry time.
     pub told_when: bool,
 }
 
-/// What a pour may be told while it goes on.
+/// Changes the rate of a load while it runs.
 #[derive(Debug, Default)]
-pub struct Tap {
-    /// Asks in a thousand seconds.
+pub struct LoadControl {
+    /// Requests per 1,000 seconds.
     per_ks: AtomicU64,
-    held: AtomicBool,
-    shut: AtomicBool,
+    paused: AtomicBool,
+    stopped: AtomicBool,
 }
 
-impl Tap {
-    /// So many asks a second from now on.
+impl LoadControl {
+    /// Sets the rate in requests per second.
     pub fn set(&self, rate: f64) {
         self.per_ks.store((rate * 1e3) as u64, Ordering::Relaxed);
     }
 
-    /// No asks for a while, or again as many as before.
-    pub fn hold(&self, held: bool) {
-        self.held.store(held, Ordering::Relaxed);
+    /// Pauses the load, or resumes it at the rate set.
+    pub fn pause(&self, paused: bool) {
+        self.paused.store(paused, Ordering::Relaxed);
     }
 
-    /// No more asks.
-    pub fn shut(&self) {
-        self.shut.store(true, Ordering::Relaxed);
+    /// Ends the load.
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
-/// Asks at one planner, which may be killed and come back at its address, until the tap is shut; gives all asks with what
-/// came of them, and the second answers that came. Of a planner that is not there nothing is asked.
+/// Sends requests to one planner until `control` ends the load. The planner may be killed and restarted at
+/// the same address; while it cannot be reached, nothing is sent. Returns all requests with their outcomes,
+/// and the number of second final answers.
 ///
 /// # Errors
-/// If the system gives no runtime.
-pub fn pour(shape: &Shape, to: SocketAddr, tap: &Tap) -> io::Result<(Vec<Asked>, u64)> {
+/// If the async runtime cannot be created.
+pub fn run_controlled(shape: &Shape, to: SocketAddr, control: &LoadControl) -> io::Result<(Vec<Asked>, u64)> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let tally: Shared = Arc::new(Mutex::new(Tally::new()));
         let log: Arc<Mutex<Vec<Asked>>> = Arc::default();
-        let mut links: Vec<Option<Arc<Owner>>> = vec![None; OWNERS];
+        let mut connections: Vec<Option<Arc<Owner>>> = vec![None; CONNECTIONS];
         let mut rng = Pcg64Mcg::seed_from_u64(shape.seed);
         let (mut credit, mut last, mut number) = (0.0, Instant::now(), 0u64);
         let mut asked: Vec<tokio::task::JoinHandle<()>> = Vec::new();
-        while !tap.shut.load(Ordering::Relaxed) {
-            tokio::time::sleep(TURN).await;
+        while !control.stopped.load(Ordering::Relaxed) {
+            tokio::time::sleep(POLL_INTERVAL).await;
             let now = Instant::now();
-            let held = tap.held.load(Ordering::Relaxed);
-            let per_s = if held { 0.0 } else { tap.per_ks.load(Ordering::Relaxed) as f64 / 1e3 };
-            // What a busy machine made late is not asked all at once.
+            let paused = control.paused.load(Ordering::Relaxed);
+            let per_s = if paused { 0.0 } else { control.per_ks.load(Ordering::Relaxed) as f64 / 1e3 };
+            // Limits the burst after a delay by a busy machine.
             credit = (credit + per_s * (now - last).as_secs_f64()).min(per_s * 0.2 + 1.0);
             last = now;
-            for link in &mut links {
-                if link.as_ref().is_none_or(|owner| owner.closed.load(Ordering::Acquire)) {
-                    let dialled = tokio::time::timeout(TURN, Owner::connect(to, tally.clone())).await;
-                    *link = dialled.ok().and_then(Result::ok);
+            for connection in &mut connections {
+                if connection.as_ref().is_none_or(|owner| owner.closed.load(Ordering::Acquire)) {
+                    let dialled =
+                        tokio::time::timeout(POLL_INTERVAL, Owner::connect(to, tally.clone())).await;
+                    *connection = dialled.ok().and_then(Result::ok);
                 }
             }
             while credit >= 1.0 {
                 credit -= 1.0;
                 number += 1;
-                let Some(link) = links[number as usize % OWNERS].clone() else { continue };
+                let Some(connection) = connections[number as usize % CONNECTIONS].clone() else { continue };
                 let (id, keyed) = (shape.ids_after + number, rng.gen_bool(shape.keyed));
                 let service_number = number as usize % shape.services.len();
-                let ask = Ask {
+                let request = JobRequest {
                     class: if keyed { "keyed" } else { "stateless" },
                     key: keyed.then(|| format!("{id:032x}")),
                     service: shape.services[service_number].clone(),
@@ -287,7 +291,7 @@
                 let (patience, log) = (shape.deadline + shape.patience, log.clone());
                 asked.push(tokio::spawn(async move {
                     let sent = Instant::now();
-                    let answer = tokio::time::timeout(patience, link.ask(id, &ask)).await;
+                    let answer = tokio::time::timeout(patience, connection.request(id, &request)).await;
                     let (end, told_when) = answer.unwrap_or((End::Unanswered, false));
                     let answered = Instant::now();
                     let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
@@ -300,24 +304,24 @@
             let _ = task.await;
         }
         let log = std::mem::take(&mut *log.lock().unwrap_or_else(PoisonError::into_inner));
-        Ok((log, with(&tally, |t| t.twice)))
+        Ok((log, with_tally(&tally, |t| t.twice)))
     })
 }
 
-struct Ask {
+struct JobRequest {
     class: &'static str,
     key: Option<String>,
     service: String,
-    /// The platform's front names services by numbers.
+    /// The platform front identifies services by number.
     service_number: usize,
     room: (f64, f64),
     deadline: Duration,
 }
 
-/// A client of the REST front.
+/// An HTTP client for the REST front.
 pub type RestClient = Client<HttpConnector, Full<Bytes>>;
 
-/// One request to the REST front: status and body, where both came whole.
+/// One request to the REST front: returns status and body, or `None` without a complete JSON answer.
 pub async fn call(
     client: &RestClient,
     method: &str,
@@ -337,20 +341,20 @@
     Some((status, serde_json::from_slice(&body.to_bytes()).ok()?))
 }
 
-/// A client of its own.
+/// A new HTTP client.
 pub fn client() -> RestClient {
     Client::builder(TokioExecutor::new()).build_http()
 }
 
-async fn by_rest(client: &RestClient, to: SocketAddr, ask: &Ask) -> (End, bool) {
-    let body = json!({"class": ask.class, "service": ask.service, "cores": ask.room.0, "memory": ask.room.1,
-        "deadlineMs": ask.deadline.as_millis() as u64, "description": "POST /run"});
-    let said = call(client, "POST", to, "/v1/jobs", ask.key.as_deref(), &body).await;
-    let Some((status, said)) = said else { return (End::Unanswered, false) };
-    let told = said["retryAfterMs"].as_u64().is_some_and(|ms| ms > 0);
-    let limited = said["type"].as_str().is_some_and(|t| t.ends_with(":limited"));
+async fn ask_by_rest(client: &RestClient, to: SocketAddr, request: &JobRequest) -> (End, bool) {
+    let body = json!({"class": request.class, "service": request.service, "cores": request.room.0,
+        "memory": request.room.1, "deadlineMs": request.deadline.as_millis() as u64, "description": "POST /run"});
+    let answer = call(client, "POST", to, "/v1/jobs", request.key.as_deref(), &body).await;
+    let Some((status, answer)) = answer else { return (End::Unanswered, false) };
+    let told_when = answer["retryAfterMs"].as_u64().is_some_and(|ms| ms > 0);
+    let limited = answer["type"].as_str().is_some_and(|t| t.ends_with(":limited"));
     let end = match status {
-        // What was placed and is over by the time that it is looked at was placed all the same.
+        // 409: the job was placed and has already ended when its status is read.
         200 | 201 | 409 => End::Placed,
         429 if limited => End::TurnedAway,
         429 | 504 => End::Refused,
@@ -358,12 +362,12 @@
         502 => End::Failed,
         _ => End::Unanswered,
     };
-    (end, told)
+    (end, told_when)
 }
 
 type Waiting = Arc<Mutex<BTreeMap<u64, oneshot::Sender<(End, bool)>>>>;
 
-/// A connection to the platform's front that many asks share.
+/// A connection to the platform front that many requests share.
 struct Owner {
     write: tokio::sync::Mutex<OwnedWriteHalf>,
     waiting: Waiting,
@@ -371,12 +375,12 @@
     closed: Arc<AtomicBool>,
 }
 
-/// A parameter of a client's message.
+/// Encodes a parameter of a client message.
 pub(crate) fn parameter(code: u8, value: &str) -> Vec<u8> {
     [&[code][..], &(value.len() as u16).to_be_bytes(), value.as_bytes()].concat()
 }
 
-/// A client's message with its parameters.
+/// Encodes a client message with its parameters.
 pub(crate) fn message(kind: u8, id: u64, parameters: &[u8]) -> Vec<u8> {
     let message = [&[kind][..], &id.to_be_bytes(), parameters].concat();
     [&(message.len() as u16).to_be_bytes()[..], &message].concat()
@@ -389,29 +393,29 @@
         let (read, write) = stream.into_split();
         let waiting: Waiting = Arc::default();
         let closed = Arc::new(AtomicBool::new(false));
-        tokio::spawn(hear(read, waiting.clone(), tally.clone(), closed.clone()));
+        tokio::spawn(read_answers(read, waiting.clone(), tally.clone(), closed.clone()));
         Ok(Arc::new(Owner { write: tokio::sync::Mutex::new(write), waiting, tally, closed }))
     }
 
-    async fn ask(&self, id: u64, ask: &Ask) -> (End, bool) {
-        let service = format!("{:016x}", ask.service_number);
-        let key = ask.key.as_ref().map(|key| parameter(16, key)).unwrap_or_default();
+    async fn request(&self, id: u64, request: &JobRequest) -> (End, bool) {
+        let service = format!("{:016x}", request.service_number);
+        let key = request.key.as_ref().map(|key| parameter(16, key)).unwrap_or_default();
         let parameters = [
-            parameter(3, ask.class),
-            parameter(4, &ask.deadline.as_millis().to_string()),
+            parameter(3, request.class),
+            parameter(4, &request.deadline.as_millis().to_string()),
             parameter(7, &format!("{id:016x}")),
             key,
-            parameter(8, &format!("cores:{};memory:{};service:{service}", ask.room.0, ask.room.1)),
+            parameter(8, &format!("cores:{};memory:{};service:{service}", request.room.0, request.room.1)),
             parameter(18, "POST /run"),
         ]
         .concat();
-        let (told, answer) = oneshot::channel();
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner).insert(id, told);
+        let (answer_sender, answer) = oneshot::channel();
+        self.waiting.lock().unwrap_or_else(PoisonError::into_inner).insert(id, answer_sender);
         if self.closed.load(Ordering::Acquire) {
             return (End::Unanswered, false);
         }
         let bytes = message(1, id, &parameters);
-        with(&self.tally, |tally| tally.bytes.0 += bytes.len() as u64);
+        with_tally(&self.tally, |tally| tally.bytes.0 += bytes.len() as u64);
         if self.write.lock().await.write_all(&bytes).await.is_err() {
             return (End::Unanswered, false);
         }
@@ -419,15 +423,15 @@
     }
 }
 
-/// Takes answers in: a set-up has exactly one, and a task that stood then has a release.
-async fn hear(mut read: OwnedReadHalf, waiting: Waiting, tally: Shared, closed: Arc<AtomicBool>) {
+/// Reads answers: each request has exactly one, and a placed task has one release after it.
+async fn read_answers(mut read: OwnedReadHalf, waiting: Waiting, tally: Shared, closed: Arc<AtomicBool>) {
     let mut placed = std::collections::BTreeSet::new();
     while let Ok(length) = read.read_u16().await {
         let mut message = vec![0; usize::from(length)];
         if read.read_exact(&mut message).await.is_err() || message.len() < 9 {
             break;
         }
-        with(&tally, |tally| tally.bytes.1 += 2 + u64::from(length));
+        with_tally(&tally, |tally| tally.bytes.1 += 2 + u64::from(length));
         let mut id = [0; 8];
         id.copy_from_slice(&message[1..9]);
         let id = u64::from_be_bytes(id);
@@ -442,28 +446,28 @@
             }
             None
         };
-        let waits = waiting.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
-        match (message[0], waits) {
-            (9, Some(waits)) => {
+        let answer_sender = waiting.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
+        match (message[0], answer_sender) {
+            (9, Some(answer_sender)) => {
                 placed.insert(id);
-                let _ = waits.send((End::Placed, false));
+                let _ = answer_sender.send((End::Placed, false));
             }
-            (12, Some(waits)) => {
+            (12, Some(answer_sender)) => {
                 let end = match find(17).and_then(|cause| cause.first().copied()) {
                     Some(34 | 102) => End::Refused,
                     Some(42) => End::TurnedAway,
                     _ => End::Failed,
                 };
-                let away = find(9).and_then(|ms| String::from_utf8(ms).ok()?.parse::<u64>().ok());
-                let _ = waits.send((end, away.is_some_and(|ms| ms > 0)));
+                let retry_after = find(9).and_then(|ms| String::from_utf8(ms).ok()?.parse::<u64>().ok());
+                let _ = answer_sender.send((end, retry_after.is_some_and(|ms| ms > 0)));
             }
-            // The release of what stood, once.
-            (12, None) if placed.remove(&id) => with(&tally, |t| t.released.push((id, Instant::now()))),
-            (9 | 12, None) => with(&tally, |t| t.twice += 1),
+            // The one release of a placed task.
+            (12, None) if placed.remove(&id) => with_tally(&tally, |t| t.released.push((id, Instant::now()))),
+            (9 | 12, None) => with_tally(&tally, |t| t.twice += 1),
             _ => {}
         }
     }
-    // Nobody answers any more: whoever waits hears of it.
+    // No more answers will come: wakes all requests that wait for one.
     closed.store(true, Ordering::Release);
     waiting.lock().unwrap_or_else(PoisonError::into_inner).clear();
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -12,11 +12,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Scale tests count allocations.
+/// Counts allocations for the scale tests.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Stand-in nodes, load and rigs for burlhook.
+/// Stand-in nodes, load generators and experiments for burlhook.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -26,28 +26,31 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// A planner and five nodes on free ports, a short mix, and what became of each job. It ends by itself.
+    /// Runs a planner and five nodes on free ports with a short mix of jobs, and prints the outcome of each.
     Demo,
-    /// One stand-in node, until it is ended.
+    /// Runs one stand-in node until it is terminated.
     Node(commands::node::Arguments),
-    /// Reloads under load; prints latency, memory and what the ledgers show.
+    /// Reloads the operators' file under load; prints latency, memory and the audit of the ledgers.
     Reload(commands::reload::Arguments),
-    /// A brown-out with and without a budget of further tries.
+    /// Compares a brown-out with and without a retry budget.
     Brownout(commands::brownout::Arguments),
-    /// Groups beside ordinary load on nodes that fail at random; partial times come from the nodes' ledgers.
+    /// Runs groups beside ordinary load on nodes that fail at random; partial times come from the nodes'
+    /// ledgers.
     Groups(commands::groups::Arguments),
-    /// Planners over more machines than descriptors, or that share a fault: how late ends are told, and dials in step.
+    /// Runs planners with more machines than descriptors, or with a shared fault: delays of task ends, and
+    /// dial bursts.
     Fleet(commands::fleet::Arguments),
-    /// Budgets of the whole fleet under faults; the machines' ledgers and the clients' logs decide.
+    /// Checks budgets of the whole fleet under faults, from the machines' ledgers and the clients' logs.
     Budgets(commands::budgets::Arguments),
-    /// The simulated twin of a fleet: drawn faults over many seeds, or how long parts are idle when planners go and come.
+    /// Simulates a fleet: drawn faults over many seeds, or how long parts are idle when planners stop and
+    /// start.
     Twin(commands::twin::Arguments),
-    /// Scale tests: what each part costs as one size grows.
+    /// Scale tests: the cost of each part as one size grows.
     Capacity {
         #[command(subcommand)]
         action: capacity::command::Action,
     },
-    /// The planner itself, as the rigs start it.
+    /// The planner itself, as experiments start it.
     #[command(hide = true)]
     Planner {
         #[arg(long)]
--- a/lab/src/net/mod.rs
+++ b/lab/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The fault network: between the planners of a rig each pair's words go through a relay of ours, which drops, delays,
-//! doubles and cuts as a schedule says. Everything stays on loopback addresses.
+//! The fault network: a UDP relay between each pair of an experiment's planners, which drops, delays,
+//! duplicates and partitions as a schedule says. Everything stays on loopback addresses.
 
 mod schedule;
 
@@ -13,30 +13,30 @@
 use std::thread::JoinHandle;
 use tokio::sync::oneshot;
 
-/// Bytes. The longest datagram that is passed on.
-const MOST_BYTES: usize = 2048;
+/// The longest datagram that is relayed.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// Datagrams and their bytes.
+/// Traffic that one planner sent, counted by the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Passed {
-    /// Datagrams that came to the relay.
+    /// Datagrams received by the relay.
     pub came: u64,
     /// Their bytes.
     pub bytes: u64,
-    /// Copies that were passed on.
-    pub passed: u64,
+    /// Copies that were forwarded.
+    pub forwarded: u64,
 }
 
 struct State {
     weather: Weather,
     rng: Pcg64Mcg,
-    /// Where each planner hears.
+    /// The address on which each planner listens.
     targets: Vec<Option<SocketAddr>>,
-    /// By planner that sent.
+    /// Traffic by sending planner.
     counts: Vec<Passed>,
 }
 
-/// A running relay; it ends when it is dropped.
+/// A running relay. Dropping it ends it.
 pub struct Net {
     addresses: Vec<Vec<SocketAddr>>,
     state: Arc<Mutex<State>>,
@@ -49,10 +49,10 @@
 }
 
 impl Net {
-    /// A relay among so many planners, in fine weather.
+    /// Starts a relay among `planners` planners, without faults.
     ///
     /// # Errors
-    /// If sockets or a thread are not to be had.
+    /// If a socket cannot be bound or the thread cannot be started.
     pub fn start(planners: usize, seed: u64) -> io::Result<Net> {
         let socket = |_| -> io::Result<UdpSocket> {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
@@ -65,7 +65,7 @@
             .iter()
             .map(|row| row.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>())
             .collect::<io::Result<Vec<_>>>()?;
-        let (weather, rng) = (Weather::fine(planners), Pcg64Mcg::seed_from_u64(seed));
+        let (weather, rng) = (Weather::without_faults(planners), Pcg64Mcg::seed_from_u64(seed));
         let (targets, counts) = (vec![None; planners], vec![Passed::default(); planners]);
         let state = Arc::new(Mutex::new(State { weather, rng, targets, counts }));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -90,22 +90,22 @@
         Ok(Net { addresses, state, end: Some(end), thread: Some(thread) })
     }
 
-    /// Where a planner reaches another.
+    /// The relay's address at which planner `from` reaches planner `to`.
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
         self.addresses[from][to]
     }
 
-    /// Where a planner hears.
+    /// Sets the address on which a planner listens.
     pub fn target(&self, planner: usize, address: SocketAddr) {
         lock(&self.state).targets[planner] = Some(address);
     }
 
-    /// Takes what a schedule says of words between planners.
-    pub fn take(&self, what: &What) {
-        lock(&self.state).weather.take(what);
+    /// Applies a scheduled change to the traffic between planners; other faults are ignored.
+    pub fn apply(&self, what: &What) {
+        lock(&self.state).weather.apply(what);
     }
 
-    /// What each planner sent so far.
+    /// Traffic of each planner so far.
     pub fn counts(&self) -> Vec<Passed> {
         lock(&self.state).counts.clone()
     }
@@ -126,31 +126,31 @@
     there: Arc<tokio::net::UdpSocket>,
     (from, to): (usize, usize),
 ) {
-    let mut bytes = vec![0; MOST_BYTES];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error tells that a planner is not there.
+        // An error means that a planner's port is closed.
         let Ok((length, source)) = here.recv_from(&mut bytes).await else { continue };
-        let (target, ways) = {
+        let (target, delays) = {
             let mut guard = lock(&state);
             let State { weather, rng, targets, counts } = &mut *guard;
             if targets[from] != Some(source) {
                 continue;
             }
-            let ways = weather.ways(rng, from, to);
+            let delays = weather.draw_delays(rng, from, to);
             counts[from].came += 1;
             counts[from].bytes += length as u64;
-            counts[from].passed += ways.len() as u64;
-            (targets[to], ways)
+            counts[from].forwarded += delays.len() as u64;
+            (targets[to], delays)
         };
         let Some(target) = target else { continue };
-        for way in ways {
-            if way.is_zero() {
+        for delay in delays {
+            if delay.is_zero() {
                 let _ = there.try_send_to(&bytes[..length], target);
                 continue;
             }
             let (there, copy) = (there.clone(), bytes[..length].to_vec());
             tokio::spawn(async move {
-                tokio::time::sleep(way).await;
+                tokio::time::sleep(delay).await;
                 let _ = there.try_send_to(&copy, target);
             });
         }
--- a/lab/src/net/schedule.rs
+++ b/lab/src/net/schedule.rs
@@ -1,100 +1,100 @@
-//! What befalls a fleet, and when: read from a JSON5 text, or drawn by a seed. The same schedule is played on real
-//! processes under the fault network and in the simulated twin.
+//! Schedules of faults: read from a JSON5 text, or drawn from a seed. The same schedule is applied to real
+//! processes on the fault network and to the simulation.
 
 use burlhook::document::{self, Faults, Item, Section, Sink, Text};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Milliseconds. The longest schedule.
-const MOST_MS: u64 = 3_600_000;
+/// Milliseconds. The latest time and the longest duration in a schedule.
+const MAX_TIME_MS: u64 = 3_600_000;
 
-/// Something that befalls the fleet.
+/// A fault or other change of conditions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    /// How words between planners travel from now on: shares that are lost and doubled, and the least and most
-    /// milliseconds on the way, drawn for each, so that they also come out of order.
+    /// Sets the conditions for datagrams between planners: the shares that are lost and duplicated, and the
+    /// range of the delay, which is drawn for each copy, so that datagrams are also reordered.
     Weather {
-        /// Share lost.
+        /// Share that is lost.
         loss: f64,
-        /// Share doubled.
+        /// Share that is duplicated.
         double: f64,
-        /// Least and most milliseconds.
+        /// Minimum and maximum delay in milliseconds.
         delay_ms: (u64, u64),
     },
-    /// The planners are parted into groups that do not hear each other; those that are named nowhere are one more. Where
-    /// it is one way only, the first group is heard by none and hears all.
+    /// Partitions the planners into groups; planners that are not listed form another group. If `one_way`,
+    /// only datagrams from the first group to others are dropped.
     Part {
         /// The groups.
         groups: Vec<Vec<usize>>,
-        /// One way only.
+        /// Whether only datagrams from the first group are dropped.
         one_way: bool,
     },
-    /// All hear each other again.
+    /// Ends all partitions.
     Heal,
-    /// A planner's process is killed, and started again after so long.
+    /// Kills a planner's process (SIGKILL) and restarts it after `again_ms`.
     Kill {
-        /// Which.
+        /// The planner's index.
         planner: usize,
-        /// Milliseconds; never again if absent.
+        /// Milliseconds; not restarted if absent.
         again_ms: Option<u64>,
     },
-    /// A planner is told to stop, and started again so long after it has.
+    /// Terminates a planner gracefully (SIGTERM) and restarts it after `again_ms`, not before it has exited.
     Term {
-        /// Which.
+        /// The planner's index.
         planner: usize,
-        /// Milliseconds; never again if absent.
+        /// Milliseconds; not restarted if absent.
         again_ms: Option<u64>,
     },
-    /// A planner's process is stopped for so long (SIGSTOP, SIGCONT).
+    /// Suspends a planner's process for `for_ms` (SIGSTOP, SIGCONT).
     Stop {
-        /// Which.
+        /// The planner's index.
         planner: usize,
         /// Milliseconds.
         for_ms: u64,
     },
-    /// A machine does nothing for so long, but takes in bytes.
+    /// Pauses a machine for `for_ms`: it receives messages but does not handle them.
     Slow {
-        /// Which.
+        /// The machine's index.
         node: usize,
         /// Milliseconds.
         for_ms: u64,
     },
-    /// All connections to a machine are reset.
+    /// Resets all connections to a machine.
     Reset {
-        /// Which.
+        /// The machine's index.
         node: usize,
     },
-    /// From now on this share of the load goes to that planner, the rest evenly to the others.
+    /// Sends this share of the load to one planner, and the rest evenly to the others.
     Lean {
-        /// Which.
+        /// The planner's index.
         planner: usize,
-        /// Share.
+        /// The share of the load.
         share: f64,
     },
-    /// The load is even from now on.
+    /// Spreads the load evenly.
     Even,
-    /// All planners read files with that whole for the jobs in flight, one after the other.
+    /// Reloads all planners, one after the other, with this fleet-wide limit for jobs in flight.
     Whole {
-        /// Units.
+        /// The limit, in jobs.
         units: u64,
     },
-    /// All that follows waits until more than that share of each budget was used over so long: how soon a fleet serves
-    /// again depends on how busy its machine is.
+    /// Delays all later steps until more than this share of each budget was used over `over_ms`: how soon a
+    /// fleet serves again depends on the load of the machine that runs the experiment.
     Used {
-        /// Share of the jobs in flight and of the rate.
+        /// Share of the limit for jobs in flight and of the rate.
         share: f64,
-        /// Milliseconds that the use is a mean over.
+        /// Milliseconds over which the use is averaged.
         over_ms: u64,
     },
 }
 
-/// One thing of a schedule.
+/// One step of a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Milliseconds from the beginning.
+    /// Milliseconds from the start.
     pub at_ms: u64,
-    /// What.
+    /// The fault or change.
     pub what: What,
 }
 
@@ -103,7 +103,7 @@
 pub struct Schedule(pub Vec<Step>);
 
 impl Schedule {
-    /// Adds a step.
+    /// Adds a step after all steps of the same or an earlier time.
     pub fn at(mut self, at_ms: u64, what: What) -> Schedule {
         let place = self.0.partition_point(|s| s.at_ms <= at_ms);
         self.0.insert(place, Step { at_ms, what });
@@ -113,7 +113,7 @@
     /// Reads a text: `[{atMs: 0, do: "weather", loss: 0.3, delayMs: [1, 2000]}, ...]` under the name `steps`.
     ///
     /// # Errors
-    /// All its faults.
+    /// If the text is not a valid schedule; lists all errors.
     pub fn read(text: &Text, planners: usize, nodes: usize) -> Result<Schedule, Faults> {
         let root = document::parse(text)?;
         let sink = Sink::default();
@@ -132,7 +132,8 @@
         Ok(schedule)
     }
 
-    /// Draws faults for so long; the last fifth of it is calm, so that what is left can be looked at.
+    /// Draws faults for a run of length `span`; its last fifth has none, so that the recovered state can be
+    /// checked.
     pub fn drawn(seed: u64, planners: usize, nodes: usize, span: Duration) -> Schedule {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7363_6865_6475_6c65);
         let end = span.as_millis() as u64;
@@ -156,7 +157,7 @@
                 5 => What::Heal,
                 6 | 7 => What::Kill { planner, again_ms: Some(rng.gen_range(200..2_500)) },
                 12 => {
-                    // All at once.
+                    // Kills all planners at the same time.
                     for planner in 1..planners {
                         let again_ms = Some(rng.gen_range(100..600));
                         schedule = schedule.at(at, What::Kill { planner, again_ms });
@@ -182,23 +183,23 @@
             schedule = schedule.at(at, what);
             at += rng.gen_range(200..1_600);
         }
-        let quiet = What::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 0) };
-        schedule.at(calm, What::Heal).at(calm, quiet).at(calm, What::Even)
+        let without_faults = What::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 0) };
+        schedule.at(calm, What::Heal).at(calm, without_faults).at(calm, What::Even)
     }
 }
 
 fn step(section: &Section<'_>, planners: usize, nodes: usize) -> Option<Step> {
-    let at_ms = section.need("atMs").and_then(|i| i.count(0..=MOST_MS));
-    let word = section.need("do").and_then(|i| i.text());
+    let at_ms = section.need("atMs").and_then(|i| i.count(0..=MAX_TIME_MS));
+    let kind = section.need("do").and_then(|i| i.text());
     let share = |name| section.get(name).map_or(Some(0.0), |i| i.within(0.0..=1.0, ""));
     let index = |item: &Item<'_>, most: usize| item.count(0..=most.max(1) as u64 - 1).map(|n| n as usize);
     let planner = || section.need("planner").and_then(|i| index(&i, planners));
     let node = || section.need("node").and_then(|i| index(&i, nodes));
-    let millis = |name| section.need(name).and_then(|i| i.count(0..=MOST_MS));
-    let again = || section.get("againMs").map_or(Some(None), |i| i.count(0..=MOST_MS).map(Some));
-    let what = match word? {
+    let millis = |name| section.need(name).and_then(|i| i.count(0..=MAX_TIME_MS));
+    let again = || section.get("againMs").map_or(Some(None), |i| i.count(0..=MAX_TIME_MS).map(Some));
+    let what = match kind? {
         "weather" => {
-            let delay = section.get("delayMs").map_or(Some((0.0, 0.0)), |i| i.span_of(MOST_MS as f64));
+            let delay = section.get("delayMs").map_or(Some((0.0, 0.0)), |i| i.span_of(MAX_TIME_MS as f64));
             let (least, most) = delay?;
             let (loss, double) = (share("loss")?, share("double")?);
             What::Weather { loss, double, delay_ms: (least as u64, most as u64) }
@@ -234,28 +235,28 @@
     Some(Step { at_ms: at_ms?, what })
 }
 
-/// Which planner's words reach which, and how.
+/// Current conditions for datagrams between planners.
 #[derive(Clone, Debug)]
 pub struct Weather {
-    /// Share lost.
+    /// Share that is lost.
     pub loss: f64,
-    /// Share doubled.
+    /// Share that is duplicated.
     pub double: f64,
-    /// Least and most milliseconds on the way.
+    /// Minimum and maximum delay in milliseconds.
     pub delay_ms: (u64, u64),
-    /// The group of each planner.
+    /// Each planner's group in a partition; 0 if it is not listed in one.
     group: Vec<usize>,
     one_way: bool,
 }
 
 impl Weather {
-    /// Fine weather among so many.
-    pub fn fine(planners: usize) -> Weather {
+    /// Conditions without loss, delay or partitions.
+    pub fn without_faults(planners: usize) -> Weather {
         Weather { loss: 0.0, double: 0.0, delay_ms: (0, 0), group: vec![0; planners], one_way: false }
     }
 
-    /// Takes what a schedule says of words between planners.
-    pub fn take(&mut self, what: &What) {
+    /// Applies a scheduled change to these conditions; other faults are ignored.
+    pub fn apply(&mut self, what: &What) {
         match what {
             What::Weather { loss, double, delay_ms } => {
                 (self.loss, self.double, self.delay_ms) = (*loss, *double, *delay_ms);
@@ -279,20 +280,20 @@
         }
     }
 
-    /// How long each copy of a word from one planner to another is on its way; none where it is lost.
-    pub fn ways(&self, rng: &mut impl Rng, from: usize, to: usize) -> Vec<Duration> {
+    /// Draws the delay of each copy of a datagram from one planner to another; empty if it is lost.
+    pub fn draw_delays(&self, rng: &mut impl Rng, from: usize, to: usize) -> Vec<Duration> {
         let (a, b) = (self.group[from], self.group[to]);
         if a != b && (!self.one_way || a == 1) {
             return Vec::new();
         }
-        let mut ways = Vec::new();
+        let mut delays = Vec::new();
         for chance in [1.0 - self.loss, self.double] {
             if chance >= 1.0 || (chance > 0.0 && rng.gen_bool(chance)) {
                 let micros = rng.gen_range(self.delay_ms.0 * 1_000..=self.delay_ms.1 * 1_000);
-                ways.push(Duration::from_micros(micros));
+                delays.push(Duration::from_micros(micros));
             }
         }
-        ways
+        delays
     }
 }
 
--- a/lab/src/net/schedule/tests.rs
+++ b/lab/src/net/schedule/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards whoever writes a schedule: every fault is told, and what is read is what was meant.
+/// A valid schedule is read in order of its times, and every error of an invalid one is reported.
 #[test]
-fn a_schedule_is_read_or_its_faults_are_told() {
+fn a_schedule_is_read_or_all_its_errors_are_reported() {
     let text = "{steps: [{atMs: 500, do: 'kill', planner: 1, againMs: 300}, {atMs: 0, do: 'part', groups: [[0], [1]],
         oneWay: true}, {atMs: 9, do: 'weather', loss: 0.3, delayMs: [1, 20]}]}";
     let schedule = Schedule::read(&Text::new("s", text), 2, 1).expect("a schedule");
@@ -14,16 +14,17 @@
     assert_eq!(faults.len(), 3, "{faults:?}");
 }
 
-/// Guards the cuts: none is heard across one, and one way only the first group is not heard but hears.
+/// A partition drops datagrams between groups in both directions; a one-way partition drops only those from
+/// the first group.
 #[test]
-fn cuts_cut() {
+fn partitions_drop_datagrams() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let mut weather = Weather::fine(4);
-    let mut reach = |weather: &Weather, from, to| !weather.ways(&mut rng, from, to).is_empty();
-    weather.take(&What::Part { groups: vec![vec![0, 1], vec![2, 3]], one_way: false });
+    let mut weather = Weather::without_faults(4);
+    let mut reach = |weather: &Weather, from, to| !weather.draw_delays(&mut rng, from, to).is_empty();
+    weather.apply(&What::Part { groups: vec![vec![0, 1], vec![2, 3]], one_way: false });
     assert!(reach(&weather, 0, 1) && !reach(&weather, 1, 2) && !reach(&weather, 2, 1));
-    weather.take(&What::Part { groups: vec![vec![0, 1], vec![2, 3]], one_way: true });
+    weather.apply(&What::Part { groups: vec![vec![0, 1], vec![2, 3]], one_way: true });
     assert!(!reach(&weather, 0, 2) && reach(&weather, 2, 0));
-    weather.take(&What::Heal);
+    weather.apply(&What::Heal);
     assert!(reach(&weather, 0, 2));
 }
--- a/lab/src/node/ledger.rs
+++ b/lab/src/node/ledger.rs
@@ -1,87 +1,87 @@
-//! What a node was asked and what it did, with times.
+//! A node's ledger: the offers that it received and what it did with them, with times.
 
 use std::time::Duration;
 
-/// Count. Entries that a ledger holds; more are only counted.
-const MOST: usize = 2_000_000;
+/// Count. Entries that a ledger keeps; further ones are only counted.
+const MAX_ENTRIES: usize = 2_000_000;
 
-/// What happened.
+/// An event at a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    /// An offer came whole.
+    /// An offer (a launch message) was received completely.
     Ask {
         /// The class.
         class: String,
-        /// The key, where it has one.
+        /// The idempotency key, if any.
         key: Option<String>,
-        /// Milliseconds that the planner will wait.
+        /// Milliseconds that the planner waits for an answer.
         left_ms: u64,
-        /// The description.
+        /// The task's description.
         body: String,
     },
-    /// It was refused.
+    /// The offer was refused.
     Refused,
-    /// It was answered with an error.
+    /// The offer was answered with an error.
     Failed,
-    /// A repeat by its key was dropped: a copy stands or starts.
+    /// An offer with the key of a copy that runs or starts was dropped.
     Dropped,
-    /// A copy runs, and the planner was told.
+    /// A copy runs, and the planner was notified.
     Runs,
-    /// A copy runs, and nobody was told.
+    /// A copy runs, and the planner was not notified.
     RunsUntold,
-    /// The planner took back what had not run, or told to cut what ran.
+    /// A stop message came: the planner withdraws an offer or cancels a running task.
     Stopped,
-    /// A copy that ran was cut by the planner's order.
+    /// A running copy was ended by a stop message.
     Cut,
-    /// The task came to its end.
+    /// The task ended by itself.
     Ended,
-    /// A connection came up.
+    /// A connection was opened.
     Opened,
-    /// Its connection is closed.
+    /// A connection was closed.
     Closed,
-    /// It went with its process.
+    /// The task was lost when the node's process died.
     Lost,
 }
 
 /// One entry.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// When, by the clock of the rig.
+    /// The time by the experiment's clock.
     pub at: Duration,
-    /// The id of the ask.
+    /// The job's id.
     pub job: u64,
     /// The connection.
     pub connection: u64,
-    /// What happened.
+    /// The event.
     pub what: What,
 }
 
-/// A bounded list of entries in the order in which they were booked.
+/// A bounded list of entries in the order in which they were recorded.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     /// The node's name.
     pub node: String,
     /// The entries.
     pub entries: Vec<Entry>,
-    /// Entries that found no room.
-    pub passed_over: u64,
+    /// Entries that were dropped because the ledger was full.
+    pub entries_dropped: u64,
 }
 
 impl Ledger {
-    pub(crate) fn book(&mut self, at: Duration, job: u64, connection: u64, what: What) {
-        if self.entries.len() >= MOST {
-            self.passed_over += 1;
+    pub(crate) fn record(&mut self, at: Duration, job: u64, connection: u64, what: What) {
+        if self.entries.len() >= MAX_ENTRIES {
+            self.entries_dropped += 1;
             return;
         }
         self.entries.push(Entry { at, job, connection, what });
     }
 
-    /// How many entries are of a kind.
+    /// Number of entries that match.
     pub fn count(&self, is: impl Fn(&What) -> bool) -> usize {
         self.entries.iter().filter(|e| is(&e.what)).count()
     }
 
-    /// Offers that came.
+    /// Number of offers received.
     pub fn asks(&self) -> usize {
         self.count(|what| matches!(what, What::Ask { .. }))
     }
--- a/lab/src/node/mod.rs
+++ b/lab/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! The stand-in node. Its faults are drawn by seed or ordered by script and by call; every ask and every copy is booked
-//! in its ledger with the time at which its bytes came, also while it hangs.
+//! The stand-in node. Its faults are drawn from a seed, or injected by a script or by calls. Each offer is
+//! recorded in the ledger with the time of its arrival, even while the node hangs; so is each copy of a task.
 
 mod connection;
 mod ledger;
@@ -18,11 +18,11 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// What all parts of a node share.
+/// State that the node's listener and connections share.
 pub(crate) struct Shared {
     state: Mutex<State>,
-    /// Counts the lives of its process: a connection of an earlier one is reset.
-    life: watch::Sender<u64>,
+    /// Number of resets and process deaths so far; a change resets all connections.
+    epoch: watch::Sender<u64>,
     clock: Clock,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// A running node. It ends when it is dropped.
+/// A running node. Dropping it ends it.
 pub struct Node {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -41,45 +41,45 @@
 }
 
 impl Node {
-    /// Starts a node on a loopback address; port 0 has the system pick one.
+    /// Starts a node on a loopback address; with port 0 the system picks a free port.
     ///
     /// # Errors
-    /// If the address is not to be had or no thread can be started.
+    /// If the address cannot be bound or the thread cannot be started.
     pub fn start(address: &str, plan: Plan, clock: Clock) -> io::Result<Node> {
         let listener = TcpListener::bind(address)?;
         if !listener.local_addr()?.ip().is_loopback() {
-            return Err(io::Error::other("only loopback addresses are listened on"));
+            return Err(io::Error::other("a stand-in node listens on loopback addresses only"));
         }
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let shared =
-            Arc::new(Shared { state: Mutex::new(State::new(plan)), life: watch::Sender::new(0), clock });
+            Arc::new(Shared { state: Mutex::new(State::new(plan)), epoch: watch::Sender::new(0), clock });
         let (acts, orders) = mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let of_thread = shared.clone();
+        let thread_shared = shared.clone();
         let thread = std::thread::Builder::new()
             .name(format!("node-{}", address.port()))
-            .spawn(move || runtime.block_on(live(of_thread, listener, address, orders)))?;
+            .spawn(move || runtime.block_on(run(thread_shared, listener, address, orders)))?;
         Ok(Node { address, shared, acts, thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// The address on which the node listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Orders something at once.
+    /// Injects a fault or change at once.
     pub fn act(&self, act: Act) {
-        // The receiver lives as long as the node.
+        // The receiver exists as long as the node.
         let _ = self.acts.send(act);
     }
 
-    /// All that was booked so far.
+    /// A copy of the ledger so far.
     pub fn ledger(&self) -> Ledger {
         self.shared.lock().ledger.clone()
     }
 
-    /// Tasks that stand.
+    /// Number of tasks that run.
     pub fn standing(&self) -> usize {
         self.shared.lock().standing()
     }
@@ -94,7 +94,7 @@
     }
 }
 
-async fn live(
+async fn run(
     shared: Arc<Shared>,
     listener: TcpListener,
     address: SocketAddr,
@@ -130,14 +130,14 @@
             Act::Die => {
                 listener = None;
                 shared.lock().die(shared.clock.now());
-                shared.life.send_modify(|life| *life += 1);
+                shared.epoch.send_modify(|epoch| *epoch += 1);
             }
             Act::Return => {
-                // Its port may take a moment to come free.
+                // Binding fails if the port is still in use; the node then accepts no connections.
                 listener = tokio::net::TcpListener::bind(address).await.ok();
-                shared.lock().come_back();
+                shared.lock().restart();
             }
-            Act::Reset => shared.life.send_modify(|life| *life += 1),
+            Act::Reset => shared.epoch.send_modify(|epoch| *epoch += 1),
             other => shared.lock().act(shared.clock.now(), other),
         }
     }
--- a/lab/src/node/plan.rs
+++ b/lab/src/node/plan.rs
@@ -1,76 +1,79 @@
-//! How a node behaves.
+//! The configured behaviour of a node: capacity, timing and faults.
 
 use std::time::Duration;
 
-/// Least and most milliseconds, drawn evenly.
+/// Minimum and maximum in milliseconds; values are drawn uniformly.
 pub type Times = (u64, u64);
 
-/// Something that befalls a node.
+/// A fault or change that is injected into a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Act {
-    /// It does nothing for so long, but takes in bytes.
+    /// Handles no messages for this long, but still receives them.
     Pause(Duration),
-    /// It answers nothing from now on, and takes connections.
+    /// Answers nothing from now on, but still accepts connections.
     Hang,
-    /// It goes on after a hang: what came meanwhile is passed over.
+    /// Ends a hang; messages that came meanwhile are handled then.
     Wake,
-    /// All its connections are reset.
+    /// Resets all connections.
     Reset,
-    /// It takes nothing new.
+    /// Refuses new tasks.
     Drain,
-    /// It takes new work again.
+    /// Accepts new tasks again after `Drain`.
     Open,
-    /// Its process dies: connections are reset, new ones refused, tasks gone.
+    /// Simulates the death of the process: connections are reset, new ones refused, and tasks lost.
     Die,
-    /// It comes back at its address, cold.
+    /// Listens at the same address again after `Die`, with no program warm.
     Return,
-    /// The share of asks that it refuses, from now on.
+    /// Sets the share of offers that are refused.
     Refuse(f64),
-    /// The share of asks that it answers with an error, from now on.
+    /// Sets the share of offers that are answered with an error.
     Fail(f64),
-    /// It ends for good.
+    /// Ends the node.
     End,
 }
 
-/// How a node behaves; the shares are drawn by `seed`.
+/// The behaviour of a node; events with a share are drawn from `seed`.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name in ledgers and reports.
+    /// The node's name in ledgers and reports.
     pub name: String,
-    /// Seed of all that is drawn.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Tasks that it holds at most.
+    /// Maximum number of tasks.
     pub slots: usize,
-    /// Starts that go on at once; others wait their turn.
+    /// Maximum number of concurrent starts; further ones are queued.
     pub starts: usize,
-    /// A start where the program is kept.
+    /// Start time if the program is warm.
     pub start_ms: Times,
-    /// A start where it is not.
+    /// Start time if it is not.
     pub cold_start_ms: Times,
-    /// A program is kept for so long after its last start.
-    pub kept: Duration,
-    /// How long a task runs.
+    /// How long a program stays warm after its last start.
+    pub kept_warm: Duration,
+    /// Run time of a task.
     pub life_ms: Times,
-    /// Share of asks that are refused.
+    /// Share of offers that are refused.
     pub refuse: f64,
-    /// Share of asks that end in an error.
+    /// Share of offers that are answered with an error.
     pub fail: f64,
-    /// Share of asks that are never answered; the task may run all the same.
+    /// Share of offers that are never answered although the task runs.
     pub silent: f64,
-    /// Share of asks at which the connection is reset.
+    /// Share of offers at which the connection is reset.
     pub reset: f64,
-    /// Share of asks after which it does nothing for `stall_ms`.
+    /// Share of offers after which the node handles no messages for `stall_ms`.
     pub stall: f64,
-    /// See `stall`.
+    /// Length of a stall.
     pub stall_ms: Times,
-    /// So long a key is remembered: a repeat within it is dropped where a copy stands or starts.
+    /// How long an idempotency key is remembered: an offer that repeats it while a copy runs or starts is
+    /// dropped.
     pub window: Duration,
-    /// Cores and memory of the node, and of a task of the rig: reports tell what nobody asked for. Free slots if absent.
+    /// Cores and memory of the node and of each task: load reports then show the unreserved part. If absent,
+    /// reports show free slots.
     pub reports: Option<((f64, f64), (f64, f64))>,
-    /// What becomes of a task is said by the path in its description, and by nothing that is drawn: `/run` runs on,
-    /// `/end` ends at once, `/lose` runs and is lost, `/full` is refused, `/error` fails, all else is never answered.
+    /// The path in a task's description determines what happens to it, and nothing is drawn: `/run` keeps
+    /// running, `/end` ends at once, `/lose` runs and is lost, `/full` is refused, `/error` fails, and any
+    /// other path is never answered.
     pub by_path: bool,
-    /// What befalls it when, by the clock of the rig, in order.
+    /// Faults and changes with their times by the experiment's clock, in order.
     pub script: Vec<(Duration, Act)>,
 }
 
@@ -83,7 +86,7 @@
             starts: 8,
             start_ms: (5, 20),
             cold_start_ms: (40, 120),
-            kept: Duration::from_secs(8),
+            kept_warm: Duration::from_secs(8),
             life_ms: (2_000, 6_000),
             refuse: 0.0,
             fail: 0.0,
--- a/lab/src/node/state.rs
+++ b/lab/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What a node knows, and what it decides about an ask. Time comes in.
+//! A node's state and its decision on each offer. The current time is always passed in.
 
 use super::ledger::{Ledger, What};
 use super::plan::{Act, Plan, Times};
@@ -9,14 +9,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Count. Releases that wait for a connection.
-const MOST_OWED: usize = 10_000;
-/// Count. Keys that are remembered.
-const MOST_KEYS: usize = 100_000;
+/// Count. Messages that are kept for the next connection.
+const MAX_UNSENT: usize = 10_000;
+/// Count. Idempotency keys that are remembered.
+const MAX_KEYS: usize = 100_000;
 
-/// An ask as it came.
+/// A launch message as received.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Offer {
     pub job: u64,
     pub connection: u64,
     pub class: String,
@@ -24,20 +24,20 @@
     pub program: String,
 }
 
-/// What becomes of an ask.
+/// How a node handles an offer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
-    /// Refused, with the note why.
+pub enum Decision {
+    /// Refused, with this note as the reason.
     Refuse(&'static str),
     /// Answered with an error.
     Fail,
-    /// Never answered, though it runs.
-    Untold,
+    /// Never answered, although the task runs.
+    Unanswered,
     /// The connection is reset.
     Reset,
-    /// It starts; it runs after so long.
+    /// The task starts, and runs after this time.
     Start { after: Duration },
-    /// It starts once another start is done.
+    /// Queued until another start has finished; by path, never answered.
     Wait,
 }
 
@@ -49,24 +49,25 @@
     runs: bool,
 }
 
-/// A node's memory.
+/// The state of a node.
 pub struct State {
     pub plan: Plan,
     pub ledger: Ledger,
     rng: Pcg64Mcg,
     copies: BTreeMap<u64, Copy>,
-    /// Keys of copies, and when each is forgotten.
+    /// Idempotency keys of copies, and when each expires.
     keys: BTreeMap<String, Duration>,
-    kept: BTreeMap<String, Duration>,
+    /// Programs that are warm, and until when.
+    kept_warm: BTreeMap<String, Duration>,
     starting: usize,
-    line: VecDeque<Ask>,
+    start_queue: VecDeque<Offer>,
     paused_until: Duration,
     hangs: bool,
     drains: bool,
-    /// The connections that are open.
-    links: BTreeMap<u64, UnboundedSender<Value>>,
-    /// Releases for which no connection was open: the next one gets them.
-    owed: VecDeque<Value>,
+    /// Senders of the open connections.
+    connections: BTreeMap<u64, UnboundedSender<Value>>,
+    /// Messages that found no open connection; the next one sends them.
+    unsent: VecDeque<Value>,
 }
 
 impl State {
@@ -78,30 +79,32 @@
             ledger,
             copies: BTreeMap::new(),
             keys: BTreeMap::new(),
-            kept: BTreeMap::new(),
+            kept_warm: BTreeMap::new(),
             starting: 0,
-            line: VecDeque::new(),
+            start_queue: VecDeque::new(),
             paused_until: Duration::ZERO,
             hangs: false,
             drains: false,
-            links: BTreeMap::new(),
-            owed: VecDeque::new(),
+            connections: BTreeMap::new(),
+            unsent: VecDeque::new(),
         }
     }
 
-    /// A connection is open: it gets the releases that found none.
-    pub fn open(&mut self, now: Duration, connection: u64, out: UnboundedSender<Value>) {
-        self.ledger.book(now, 0, connection, What::Opened);
-        self.owed.drain(..).for_each(|message| drop(out.send(message)));
-        self.links.insert(connection, out);
+    /// Registers a new connection and sends it the messages that found none before.
+    pub fn connection_opened(&mut self, now: Duration, connection: u64, out: UnboundedSender<Value>) {
+        self.ledger.record(now, 0, connection, What::Opened);
+        self.unsent.drain(..).for_each(|message| drop(out.send(message)));
+        self.connections.insert(connection, out);
     }
 
-    /// Sends on the connection that an ask came on, else on any that is open; a release else waits for the next one.
-    pub fn say(&mut self, connection: u64, message: Value) {
-        let link = self.links.get(&connection).or_else(|| self.links.values().next());
-        match link {
-            Some(link) => drop(link.send(message)),
-            None if self.owed.len() < MOST_OWED => self.owed.push_back(message),
+    /// Sends on the given connection if it is open, otherwise on any open one. Without one, the message is
+    /// kept for the next connection.
+    pub fn send(&mut self, connection: u64, message: Value) {
+        let connection_sender =
+            self.connections.get(&connection).or_else(|| self.connections.values().next());
+        match connection_sender {
+            Some(connection_sender) => drop(connection_sender.send(message)),
+            None if self.unsent.len() < MAX_UNSENT => self.unsent.push_back(message),
             None => {}
         }
     }
@@ -110,7 +113,8 @@
         self.copies.values().filter(|c| c.runs).count()
     }
 
-    /// A report's figures: room that nobody asked for, below 0 where more was accepted than the node has, and the line.
+    /// Figures of a load report: unreserved cores and memory (negative if more was accepted than the node
+    /// has), and the length of the start queue.
     pub fn report(&self) -> (f64, f64, usize) {
         let copies = self.copies.len() as f64;
         let free = self.plan.slots as f64 - copies;
@@ -118,132 +122,134 @@
             Some((size, task)) => (size.0 - copies * task.0, size.1 - copies * task.1),
             None => (free, 2.0 * free),
         };
-        (cores, memory, self.line.len())
+        (cores, memory, self.start_queue.len())
     }
 
     pub fn hangs(&self) -> bool {
         self.hangs
     }
 
-    /// How much longer it does nothing.
+    /// Remaining time of a pause.
     pub fn pause(&self, now: Duration) -> Duration {
         self.paused_until.saturating_sub(now)
     }
 
-    fn drawn(&mut self, (least, most): Times) -> Duration {
+    fn draw_duration(&mut self, (least, most): Times) -> Duration {
         Duration::from_millis(self.rng.gen_range(least..=most.max(least)))
     }
 
-    fn happens(&mut self, share: f64) -> bool {
+    fn draw_bool(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.gen_bool(share.min(1.0))
     }
 
-    /// Takes an ask in and says what becomes of it.
-    pub fn ask(&mut self, now: Duration, ask: &Ask) -> Fate {
+    /// Decides on an offer and reserves a slot if it is accepted.
+    pub fn receive(&mut self, now: Duration, offer: &Offer) -> Decision {
         if self.plan.by_path {
-            return self.by_path(ask);
+            return self.by_path(offer);
         }
         let plan = (self.plan.reset, self.plan.stall, self.plan.refuse, self.plan.fail, self.plan.silent);
         let (reset, stall, refuse, fail, silent) = plan;
-        if self.happens(stall) {
-            let length = self.drawn(self.plan.stall_ms);
+        if self.draw_bool(stall) {
+            let length = self.draw_duration(self.plan.stall_ms);
             self.paused_until = self.paused_until.max(now + length);
         }
-        if self.happens(reset) {
-            return Fate::Reset;
+        if self.draw_bool(reset) {
+            return Decision::Reset;
         }
         if self.drains {
-            return Fate::Refuse("nh");
+            return Decision::Refuse("nh");
         }
         self.keys.retain(|_, until| now < *until);
-        if ask.key.as_ref().is_some_and(|key| self.keys.contains_key(key)) {
-            self.ledger.book(now, ask.job, ask.connection, What::Dropped);
-            return Fate::Refuse("nh");
+        if offer.key.as_ref().is_some_and(|key| self.keys.contains_key(key)) {
+            self.ledger.record(now, offer.job, offer.connection, What::Dropped);
+            return Decision::Refuse("nh");
         }
-        if self.happens(refuse) {
-            return Fate::Refuse("nq");
+        if self.draw_bool(refuse) {
+            return Decision::Refuse("nq");
         }
-        if self.happens(fail) {
-            return Fate::Fail;
+        if self.draw_bool(fail) {
+            return Decision::Fail;
         }
         if self.copies.len() >= self.plan.slots {
-            return Fate::Refuse("nc");
+            return Decision::Refuse("nc");
         }
-        if let Some(key) = ask.key.clone().filter(|_| self.keys.len() < MOST_KEYS) {
+        if let Some(key) = offer.key.clone().filter(|_| self.keys.len() < MAX_KEYS) {
             self.keys.insert(key, now + self.plan.window);
         }
-        let untold = self.happens(silent);
-        self.hold(ask, untold);
-        if untold {
-            self.ledger.book(now, ask.job, ask.connection, What::RunsUntold);
-            return Fate::Untold;
+        let unanswered = self.draw_bool(silent);
+        self.accept(offer, unanswered);
+        if unanswered {
+            self.ledger.record(now, offer.job, offer.connection, What::RunsUntold);
+            return Decision::Unanswered;
         }
         if self.starting >= self.plan.starts {
-            self.line.push_back(ask.clone());
-            return Fate::Wait;
+            self.start_queue.push_back(offer.clone());
+            return Decision::Wait;
         }
-        self.start(now, ask)
+        self.start(now, offer)
     }
 
-    fn hold(&mut self, ask: &Ask, runs: bool) {
-        let path = ask.program.rsplit('/').next().unwrap_or_default().to_string();
-        let copy = Copy { key: ask.key.clone(), connection: ask.connection, path, runs };
-        self.copies.insert(ask.job, copy);
+    fn accept(&mut self, offer: &Offer, runs: bool) {
+        let path = offer.program.rsplit('/').next().unwrap_or_default().to_string();
+        let copy = Copy { key: offer.key.clone(), connection: offer.connection, path, runs };
+        self.copies.insert(offer.job, copy);
     }
 
-    fn by_path(&mut self, ask: &Ask) -> Fate {
-        match ask.program.rsplit('/').next().unwrap_or_default() {
+    fn by_path(&mut self, offer: &Offer) -> Decision {
+        match offer.program.rsplit('/').next().unwrap_or_default() {
             "run" | "end" | "lose" => {
-                self.hold(ask, false);
-                Fate::Start { after: Duration::ZERO }
+                self.accept(offer, false);
+                Decision::Start { after: Duration::ZERO }
             }
-            "full" => Fate::Refuse("nq"),
-            "error" => Fate::Fail,
-            _ => Fate::Wait,
+            "full" => Decision::Refuse("nq"),
+            "error" => Decision::Fail,
+            _ => Decision::Wait,
         }
     }
 
-    fn start(&mut self, now: Duration, ask: &Ask) -> Fate {
+    fn start(&mut self, now: Duration, offer: &Offer) -> Decision {
         self.starting += 1;
-        self.kept.retain(|_, until| now < *until);
-        let warm = self.kept.insert(ask.program.clone(), now + self.plan.kept).is_some();
+        self.kept_warm.retain(|_, until| now < *until);
+        let warm = self.kept_warm.insert(offer.program.clone(), now + self.plan.kept_warm).is_some();
         let times = if warm { self.plan.start_ms } else { self.plan.cold_start_ms };
-        Fate::Start { after: self.drawn(times) }
+        Decision::Start { after: self.draw_duration(times) }
     }
 
-    /// A start is done: whether the task still is wanted, its life if so, and the next start.
-    pub fn started(&mut self, now: Duration, job: u64) -> (Option<Duration>, Option<(Ask, Duration)>) {
+    /// A start has finished: returns the task's run time unless it was stopped meanwhile, and the next queued
+    /// start.
+    pub fn started(&mut self, now: Duration, job: u64) -> (Option<Duration>, Option<(Offer, Duration)>) {
         self.starting = self.starting.saturating_sub(1);
         let connection = self.copies.get_mut(&job).map(|copy| {
             copy.runs = true;
             copy.connection
         });
-        let life = connection.map(|connection| {
-            self.ledger.book(now, job, connection, What::Runs);
+        let run_time = connection.map(|connection| {
+            self.ledger.record(now, job, connection, What::Runs);
             match self.plan.by_path && self.copies.get(&job).is_some_and(|copy| copy.path != "run") {
                 true => Duration::ZERO,
-                false => self.drawn(self.plan.life_ms),
+                false => self.draw_duration(self.plan.life_ms),
             }
         });
-        while let Some(ask) = self.line.pop_front() {
-            if self.copies.contains_key(&ask.job) {
-                if let Fate::Start { after } = self.start(now, &ask) {
-                    return (life, Some((ask, after)));
+        while let Some(offer) = self.start_queue.pop_front() {
+            if self.copies.contains_key(&offer.job) {
+                if let Decision::Start { after } = self.start(now, &offer) {
+                    return (run_time, Some((offer, after)));
                 }
             }
         }
-        (life, None)
+        (run_time, None)
     }
 
-    /// A task came to its end: the cause, where it was there still.
+    /// A task has ended: returns the reason code unless it was stopped before.
     pub fn ended(&mut self, now: Duration, job: u64) -> Option<u8> {
         let copy = self.copies.remove(&job)?;
-        self.ledger.book(now, job, copy.connection, What::Ended);
+        self.ledger.record(now, job, copy.connection, What::Ended);
         self.forget_key(&copy);
         Some(if self.plan.by_path && copy.path == "lose" { 41 } else { 16 })
     }
 
-    /// The planner takes a job back or cuts it: whether a copy ran, or none where nothing was known.
+    /// Removes a job that the planner withdraws or cancels: returns whether a copy ran, or `None` for an
+    /// unknown job.
     pub fn stop(&mut self, job: u64) -> Option<bool> {
         let copy = self.copies.remove(&job)?;
         self.forget_key(&copy);
@@ -256,29 +262,29 @@
         }
     }
 
-    /// A connection is closed: what was open on it is given up, what runs stays.
-    pub fn closed(&mut self, now: Duration, connection: u64) {
-        self.links.remove(&connection);
+    /// A connection was closed: its tasks that have not started are dropped; running ones stay.
+    pub fn connection_closed(&mut self, now: Duration, connection: u64) {
+        self.connections.remove(&connection);
         let open = |c: &Copy| c.connection == connection && !c.runs;
         let gone: Vec<u64> = self.copies.iter().filter(|(_, c)| open(c)).map(|(&job, _)| job).collect();
         for job in gone {
             self.stop(job);
         }
-        self.ledger.book(now, 0, connection, What::Closed);
+        self.ledger.record(now, 0, connection, What::Closed);
     }
 
     pub fn die(&mut self, now: Duration) {
         let copies = std::mem::take(&mut self.copies);
-        copies.into_iter().for_each(|(job, copy)| self.ledger.book(now, job, copy.connection, What::Lost));
+        copies.into_iter().for_each(|(job, copy)| self.ledger.record(now, job, copy.connection, What::Lost));
         (self.starting, self.hangs) = (0, false);
         self.keys.clear();
-        self.line.clear();
-        self.owed.clear();
+        self.start_queue.clear();
+        self.unsent.clear();
     }
 
-    /// It is there again, with nothing kept.
-    pub fn come_back(&mut self) {
-        self.kept.clear();
+    /// The process is back, with no program warm.
+    pub fn restart(&mut self) {
+        self.kept_warm.clear();
         self.drains = false;
     }
 
--- a/lab/src/planner.rs
+++ b/lab/src/planner.rs
@@ -1,4 +1,4 @@
-//! A planner as a process of its own: started with files of its own, reloaded, measured, and ended.
+//! A planner as a child process with its own files: started, reloaded, measured and stopped.
 
 use serde_json::{json, Value};
 use std::io::{self, BufRead, BufReader};
@@ -8,30 +8,30 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant, SystemTime};
 
-/// How a planner is started.
+/// The command that starts a planner.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program.
+    /// Path of the program.
     pub path: PathBuf,
-    /// What stands before `--config`: `serve` for the planner itself.
+    /// Arguments before `--config`, such as the subcommand `serve`.
     pub words: Vec<String>,
-    /// The flag that names the operators' file.
+    /// The flag that takes the path of the operators' file.
     pub operators_flag: String,
 }
 
 impl Program {
-    /// The same under a limit on descriptors that the system enforces.
-    pub fn within(&self, descriptors: u32) -> Program {
+    /// The same command with a limit on file descriptors, set by `ulimit`.
+    pub fn with_descriptor_limit(&self, descriptors: u32) -> Program {
         let path = self.path.to_string_lossy().into_owned();
         let mut words = vec!["-c".into(), format!("ulimit -n {descriptors}; exec \"$0\" \"$@\""), path];
         words.extend(self.words.iter().cloned());
         Program { path: "/bin/sh".into(), words, operators_flag: self.operators_flag.clone() }
     }
 
-    /// The program at this path, or the planner in the running program itself.
+    /// The program at this path, or else the planner that is built into the running program.
     ///
     /// # Errors
-    /// If the system does not tell which program runs.
+    /// If the path of the running program is not available.
     pub fn or_own(path: Option<PathBuf>) -> io::Result<Program> {
         match path {
             Some(path) => Ok(Program::at(path)),
@@ -39,42 +39,43 @@
         }
     }
 
-    /// The planner's own program.
+    /// The planner's program at this path.
     pub fn at(path: impl AsRef<Path>) -> Program {
         let (path, operators_flag) = (path.as_ref().to_path_buf(), "--operators".into());
         Program { path, words: vec!["serve".into()], operators_flag }
     }
 }
 
-/// A running planner; it is killed when it is dropped.
+/// A running planner. Dropping it kills the process.
 pub struct Planner {
     child: Child,
-    /// Where owners connect.
+    /// The address for owners' connections.
     pub owners: SocketAddr,
-    /// Where its REST front listens, where it has one.
+    /// The address of the REST front, if it has one.
     pub rest: Option<SocketAddr>,
-    /// When its process was started.
+    /// The time at which the process was started.
     pub spawned: SystemTime,
-    /// From then until it listened.
+    /// The time from then until it listened.
     pub ready_after: Duration,
     config: PathBuf,
     operators: Option<PathBuf>,
 }
 
-/// What a process has used.
+/// Resources that a process has used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Used {
-    /// Most memory that it held, in KiB.
+    /// Peak resident memory in KiB.
     pub peak_kib: u64,
-    /// CPU time of all its threads, in clock ticks of 10 ms.
+    /// CPU time of all threads, in clock ticks of 10 ms.
     pub cpu_ticks: u64,
 }
 
-/// A loopback address of its own for a planner that is to come back where it was. Not one that the system gives to
-/// connections: a client that dials a planner that is gone could be given the very port that it dials.
+/// A free loopback address for a planner that is restarted at the same address. The port lies outside of the
+/// ephemeral range: otherwise a client that dials a stopped planner could get that very port as its local
+/// port.
 ///
 /// # Errors
-/// If none is free.
+/// If no port is free.
 pub fn address() -> io::Result<SocketAddr> {
     const PORTS: std::ops::Range<u32> = 12_000..30_000;
     static COUNT: AtomicU32 = AtomicU32::new(0);
@@ -87,16 +88,18 @@
             return Ok(address);
         }
     }
-    Err(io::Error::other("no port is free"))
+    Err(io::Error::other("no free port in 12000..30000 on 127.0.0.1"))
 }
 
-fn scratch(name: &str) -> PathBuf {
+/// A unique path in the directory for temporary files.
+fn temporary_file(name: &str) -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("burlhook-lab-{}-{number}-{name}", std::process::id()))
 }
 
-/// A configuration with the settings of `classes`, and the nodes at these addresses, half of them in each hall.
+/// A configuration with the classes `stateless` and `keyed`, and nodes at these addresses, half of them in
+/// each area.
 pub fn config(nodes: &[SocketAddr], seed: u64) -> Value {
     let grade = |name: &str, effect: &str, importance: f64| {
         json!({"name": name, "deadline_s": 8.0, "group": "all", "idempotency": effect, "importance": importance,
@@ -126,28 +129,33 @@
     /// Starts a planner with a configuration and an operators' file.
     ///
     /// # Errors
-    /// If it cannot be started, or ends before it listens; its last words are the error's.
+    /// If it cannot be started, or exits before it listens; the error then contains its log.
     pub fn start(program: &Program, config: &Value, operators: Option<&str>) -> io::Result<Planner> {
-        let path = scratch("config.json");
+        let path = temporary_file("config.json");
         std::fs::write(&path, config.to_string())?;
         let mut command = Command::new(&program.path);
         command.args(&program.words).arg("--config").arg(&path).stderr(Stdio::piped()).stdin(Stdio::null());
-        let file = operators.map(|text| (scratch("operators"), text));
+        let file = operators.map(|text| (temporary_file("operators"), text));
         if let Some((file, text)) = &file {
             std::fs::write(file, text)?;
             command.arg(&program.operators_flag).arg(file);
         }
         let (spawned, from) = (SystemTime::now(), Instant::now());
         let mut child = command.spawn()?;
-        let mut log = BufReader::new(child.stderr.take().ok_or_else(|| io::Error::other("it has no log"))?);
+        let mut log = BufReader::new(
+            child.stderr.take().ok_or_else(|| io::Error::other("the planner has no standard error"))?,
+        );
         let has = |section: &str| operators.is_some_and(|text| text.contains(section));
         let wants_rest = has("rest:") || has("listen = ");
-        let (mut owners, mut rest, mut said) = (None, None, String::new());
+        let (mut owners, mut rest, mut log_text) = (None, None, String::new());
         while owners.is_none() || (wants_rest && rest.is_none()) {
             let mut line = String::new();
             if log.read_line(&mut line)? == 0 {
                 let _ = child.wait();
-                return Err(io::Error::other(format!("the planner ended: {}", said.trim_end())));
+                return Err(io::Error::other(format!(
+                    "the planner exited before it listened: {}",
+                    log_text.trim_end()
+                )));
             }
             let address = line.trim().rsplit_once("address=").and_then(|(_, a)| a.parse().ok());
             if line.contains("listening for REST") {
@@ -155,52 +163,55 @@
             } else if line.contains("listening") {
                 owners = address;
             }
-            said += &line;
+            log_text += &line;
         }
         let ready_after = from.elapsed();
-        // Its log is read to the end, so that it never waits for a reader.
+        // The rest of the log is read and discarded, so that the planner never blocks on a full pipe.
         std::thread::spawn(move || io::copy(&mut log, &mut io::sink()));
-        let owners = owners.ok_or_else(|| io::Error::other("it listens nowhere"))?;
+        let owners =
+            owners.ok_or_else(|| io::Error::other("the planner did not log the address for owners"))?;
         let operators = file.map(|(file, _)| file);
         Ok(Planner { child, owners, rest, spawned, ready_after, config: path, operators })
     }
 
-    /// The number of its process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal, by its name without SIG.
+    /// Sends a signal, given by its name without SIG.
     ///
     /// # Errors
-    /// If it is gone.
+    /// If the process does not exist.
     pub fn signal(&self, name: &str) -> io::Result<()> {
         let status =
             Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status()?;
         if status.success() {
             Ok(())
         } else {
-            Err(io::Error::other("the planner is gone"))
+            Err(io::Error::other("kill failed: the planner process does not exist"))
         }
     }
 
-    /// Writes another operators' file and has it read.
+    /// Writes a new operators' file and makes the planner reload it.
     ///
     /// # Errors
-    /// If the file cannot be written or the signal not sent.
+    /// If the file cannot be written or the signal cannot be sent.
     pub fn reload(&self, operators: &str) -> io::Result<()> {
-        let file =
-            self.operators.as_ref().ok_or_else(|| io::Error::other("it was started without such a file"))?;
+        let file = self
+            .operators
+            .as_ref()
+            .ok_or_else(|| io::Error::other("the planner was started without an operators' file"))?;
         std::fs::write(file, operators)?;
         self.signal("HUP")
     }
 
-    /// What its REST front answers to a plain request.
+    /// The REST front's answer to a GET request.
     ///
     /// # Errors
-    /// If it has no such front, or cannot be reached.
+    /// If there is no REST front, or it cannot be reached.
     pub fn get(&self, path: &str) -> io::Result<Value> {
-        let rest = self.rest.ok_or_else(|| io::Error::other("it has no REST front"))?;
+        let rest = self.rest.ok_or_else(|| io::Error::other("the planner has no REST front"))?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let answer = runtime.block_on(crate::load::call(
             &crate::load::client(),
@@ -210,15 +221,17 @@
             None,
             &Value::Null,
         ));
-        answer.map(|(_, body)| body).ok_or_else(|| io::Error::other("it does not answer"))
+        answer
+            .map(|(_, body)| body)
+            .ok_or_else(|| io::Error::other("the REST front did not answer with JSON"))
     }
 
-    /// Descriptors that it holds now.
+    /// Number of file descriptors that are open now.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, |all| all.count())
     }
 
-    /// What it has used so far.
+    /// Resources used so far.
     pub fn used(&self) -> Used {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
         let status = read("status").unwrap_or_default();
@@ -230,21 +243,21 @@
         Used { peak_kib: peak.unwrap_or_default(), cpu_ticks: ticks(11) + ticks(12) }
     }
 
-    /// Tells it to stop, and waits until it has.
+    /// Stops the planner (SIGTERM) and waits until it has exited.
     ///
     /// # Errors
-    /// If it does not end in time, or not well.
-    pub fn stop(mut self, patience: Duration) -> io::Result<()> {
+    /// If it does not exit in time, or exits with an error.
+    pub fn stop(mut self, timeout: Duration) -> io::Result<()> {
         self.signal("TERM")?;
-        let until = Instant::now() + patience;
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
             match self.child.try_wait()? {
                 Some(status) if status.success() => return Ok(()),
-                Some(status) => return Err(io::Error::other(format!("it ended with {status}"))),
+                Some(status) => return Err(io::Error::other(format!("the planner exited with {status}"))),
                 None => std::thread::sleep(Duration::from_millis(10)),
             }
         }
-        Err(io::Error::other("it does not end"))
+        Err(io::Error::other("the planner did not exit in time after SIGTERM"))
     }
 }
 
--- a/lab/src/rigs/brownout.rs
+++ b/lab/src/rigs/brownout.rs
@@ -1,5 +1,5 @@
-//! A brown-out: for some seconds nodes refuse most of what they are asked. Counted are the asks that reach them, and the
-//! tasks that are placed before, during and after, with and without a budget of further tries.
+//! A brown-out: for some seconds nodes refuse most offers. Counts the offers that reach the nodes and the
+//! tasks that are placed before, during and after it, with and without a retry budget.
 
 use super::nodes;
 use crate::audit::{audit, Allowed, Verdict};
@@ -11,20 +11,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the rig does.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Asks a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Share of asks that nodes refuse during the brown-out.
+    /// Share of offers that nodes refuse during the brown-out.
     pub refuse: f64,
-    /// Of this budget, or without.
+    /// Retries per first attempt; no retry budget if absent.
     pub budget: Option<f64>,
-    /// Seed of nodes and load.
+    /// Seed for nodes and load.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Calm time, brown-out, and calm time again.
+    /// Duration of the normal time, the brown-out, and the normal time after it.
     pub spans: [Duration; 3],
 }
 
@@ -35,40 +35,40 @@
     }
 }
 
-/// What came of it.
+/// Results of the experiment.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The asks.
+    /// Results of the load.
     pub tally: Tally,
     /// Offers that reached the nodes during the brown-out.
-    pub asks: usize,
-    /// Of them, further tries.
-    pub further: usize,
-    /// Tasks that ran from asks of the brown-out.
+    pub offers: usize,
+    /// Those of them that are retries.
+    pub retries: usize,
+    /// Tasks that started to run during the brown-out.
     pub ran: usize,
-    /// The ledgers against the rules.
+    /// Audit of the ledgers.
     pub verdict: Verdict,
 }
 
 impl Report {
-    /// Share of all asks that were placed.
+    /// Share of all requests that were placed.
     pub fn placed(&self) -> f64 {
         self.tally.count(End::Placed) as f64 / self.tally.asked.max(1) as f64
     }
 }
 
-/// Runs it.
+/// Runs the experiment.
 ///
 /// # Errors
-/// If a part of it cannot be started or reached.
+/// If a process or node cannot be started or reached.
 pub fn run(program: &Program, options: &Options) -> io::Result<Report> {
     let budget = options.budget.map_or(String::new(), |share| format!(", retryBudget: {share}"));
     let file = format!(
         "{{ rest: {{ listen: \"127.0.0.1:0\" }}, limits: {{ default: {{ attempts: 4{budget} }} }} }}"
     );
     let clock = Clock::start();
-    let [calm, brown, after] = options.spans;
-    // The load begins when the planner serves; the script's times are counted from then on, by hand.
+    let [normal, brownout, after] = options.spans;
+    // Nodes have no script: the brown-out is timed from the start of the load, once the planner serves.
     let plan = |at: usize| Plan {
         name: format!("node-{at}"),
         seed: options.seed.wrapping_mul(1000).wrapping_add(at as u64),
@@ -83,7 +83,7 @@
         ids_after: 0,
         hear_on: Duration::ZERO,
         rate: options.rate,
-        span: calm + brown + after,
+        span: normal + brownout + after,
         rest: 0.5,
         keyed: 0.4,
         deadline: Duration::from_secs(5),
@@ -94,18 +94,18 @@
     };
     let (tally, from, until) = std::thread::scope(|scope| -> io::Result<(Tally, Duration, Duration)> {
         let load = scope.spawn(|| load::run(&shape, planner.owners, planner.rest));
-        std::thread::sleep(calm);
+        std::thread::sleep(normal);
         let from = clock.now();
         nodes.iter().for_each(|n| n.act(Act::Refuse(options.refuse)));
-        std::thread::sleep(brown);
+        std::thread::sleep(brownout);
         let until = clock.now();
         nodes.iter().for_each(|n| n.act(Act::Refuse(0.0)));
-        let tally = load.join().map_err(|_| io::Error::other("the load broke off"))??;
+        let tally = load.join().map_err(|_| io::Error::other("the load generator panicked"))??;
         Ok((tally, from, until))
     })?;
     let ledgers: Vec<_> = nodes.iter().map(|n| n.ledger()).collect();
     let mut seen = std::collections::BTreeSet::new();
-    let (mut asks, mut further, mut ran) = (0, 0, 0);
+    let (mut offers, mut retries, mut ran) = (0, 0, 0);
     let mut all: Vec<_> = ledgers.iter().flat_map(|l| &l.entries).collect();
     all.sort_by_key(|e| e.at);
     for entry in all {
@@ -113,8 +113,8 @@
         match entry.what {
             What::Ask { .. } => {
                 let first = seen.insert(entry.job);
-                asks += usize::from(within);
-                further += usize::from(within && !first);
+                offers += usize::from(within);
+                retries += usize::from(within && !first);
             }
             What::Runs => ran += usize::from(within),
             _ => {}
@@ -122,5 +122,5 @@
     }
     let slack = Duration::from_millis(50);
     let verdict = audit(&ledgers, Allowed { attempts: 4, window: Duration::from_secs(6), slack });
-    Ok(Report { tally, asks, further, ran, verdict })
+    Ok(Report { tally, offers, retries, ran, verdict })
 }
--- a/lab/src/rigs/budgets.rs
+++ b/lab/src/rigs/budgets.rs
@@ -1,10 +1,11 @@
-//! Budgets of the whole fleet under faults: real planner processes behind the fault network, stand-in machines, a load at
-//! each planner, and a schedule of faults. The judge has the machines' ledgers and the clients' logs alone.
+//! Budgets of the whole fleet under faults: real planner processes on the fault network, stand-in machines, a
+//! load at each planner, and a schedule of faults. The budgets are judged from the machines' ledgers and the
+//! clients' logs alone.
 
 use super::nodes;
 use crate::audit::{attempts, Attempt, Verdict};
 use crate::judge::{mean_at_once, most_at_once, worst_window, Spans};
-use crate::load::{pour, Asked, End, Shape, Tap};
+use crate::load::{run_controlled, Asked, End, LoadControl, Shape};
 use crate::net::{Net, Passed, Schedule, What};
 use crate::node::{Act, Ledger, Node, Plan};
 use crate::planner::{address, config, Planner, Program};
@@ -17,59 +18,61 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Milliseconds that a job may take in all: half of the lease at most.
-const TOTAL_MS: u64 = 1_000;
-/// What a machine's clock and a planner's may differ by where the planner's own word ended something: both travel.
-const SLACK: Duration = Duration::from_millis(60);
-/// Seconds over which further tries are held against first ones, less than the ten that planners count over.
-const TRIES_S: (u64, u64) = (9, 12);
+/// Milliseconds. Deadline of a job; must be at most half of the lease.
+const JOB_TIMEOUT_MS: u64 = 1_000;
+/// Tolerance where a planner's message ended an attempt: the machine records that end later than the planner.
+const END_SLACK: Duration = Duration::from_millis(60);
+/// Seconds over which retries and first attempts are compared. Planners count both over 10 s: the window is
+/// shorter for retries and longer for first attempts, so that a broken budget is proved.
+const RETRY_WINDOWS_S: (u64, u64) = (9, 12);
 
-/// Far longer than a fleet takes to use its budgets on a busy machine: it only ends a run that would never go on.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// So long all planners take to read their new files.
-const RELOADED: Duration = Duration::from_millis(500);
-/// Between two looks at a planner that stops, or at what is used.
-const LOOK: Duration = Duration::from_millis(100);
+/// Limit on the wait for a step's use of budgets. It is far longer than a fleet needs on a busy machine, and
+/// only ends runs that would never continue.
+const USE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time that all planners need to reload their files.
+const RELOAD_TIME: Duration = Duration::from_millis(500);
+/// Interval at which a stopping planner or the use of budgets is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How budgets are set up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Divided by the fleet.
+    /// Divided by the fleet with leases.
     Fleet,
-    /// One limit a planner, an equal part each, as before there were fleets.
+    /// A fixed equal part at each planner, as without a fleet.
     Parts,
-    /// The whole at each planner: what the judge must see as broken.
+    /// The whole budget at each planner; the check must report this as broken.
     Each,
 }
 
-/// What the rig does.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Planners, each a process of its own.
+    /// Number of planners, each a process.
     pub planners: usize,
-    /// Machines.
+    /// Number of machines.
     pub nodes: usize,
-    /// Asks a second over all planners.
+    /// Requests per second over all planners.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the load.
     pub span: Duration,
     /// How budgets are set up.
     pub way: Way,
-    /// Jobs in flight of the fleet.
+    /// Fleet-wide limit for jobs in flight.
     pub in_flight: u64,
-    /// Keyed jobs a second of the fleet, and their burst.
+    /// Fleet-wide rate of keyed jobs per second, and its burst.
     pub keyed: (f64, f64),
-    /// Further tries for each first one, and those in ten seconds that nobody pays for.
+    /// Retries per first attempt, and retries per ten seconds that are allowed in any case.
     pub retry: (f64, u64),
-    /// Milliseconds of a lease.
+    /// Duration of a lease in milliseconds.
     pub lease_ms: u64,
-    /// Of its part, what a planner may use without hearing anyone.
+    /// Share of its part that a planner may use without contact to others.
     pub floor: f64,
-    /// Planners that vote; none where everything is floor.
+    /// Number of voters; 0 if parts need no leases.
     pub voters: usize,
-    /// What befalls the fleet.
+    /// Faults of the run.
     pub schedule: Schedule,
-    /// Seed of machines, load and network.
+    /// Seed for machines, load and network.
     pub seed: u64,
 }
 
@@ -93,32 +96,33 @@
     }
 }
 
-/// What came of it.
+/// Results of the experiment.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Broken budgets and rules, in words; none in a good run.
+    /// Descriptions of broken budgets and rules; empty in a good run.
     pub broken: Vec<String>,
-    /// Uses that the schedule waited for and that did not come, in words; none in a good run.
+    /// Descriptions of uses that the schedule waited for in vain; empty in a good run.
     pub unused: Vec<String>,
-    /// How long the schedule waited for each use, in turn; all that follows came that much later.
+    /// How long the schedule waited for each use, in order; each wait delays all later steps.
     pub waited: Vec<Duration>,
-    /// Asks by their end.
+    /// Number of requests by outcome.
     pub ends: BTreeMap<End, u64>,
-    /// Asks that were turned away and told when to come back.
+    /// Number of rejected requests whose answer contains a retry time.
     pub told_when: u64,
-    /// The most jobs of the class that were in flight at once.
+    /// Highest number of concurrent jobs in flight, of the limited class.
     pub most_in_flight: usize,
-    /// Share of the jobs in flight that was used, and of the rate, from the first lease on to the end of the load.
+    /// Mean use of the limit for jobs in flight and of the rate, as shares, from the first lease to the end
+    /// of the load.
     pub used: (f64, f64),
-    /// The greatest excess over the rate in any window; not above 0 in a good run.
+    /// Greatest excess over the rate in any window; at most 0 in a good run.
     pub window: f64,
-    /// Datagrams and bytes a second that each planner sent, by the relay.
-    pub said: (f64, f64),
-    /// CPU milliseconds of all planners that ran to the end for each thousand asks.
+    /// Datagrams and bytes per second that each planner sent, counted by the relay.
+    pub sent_per_s: (f64, f64),
+    /// CPU milliseconds per 1,000 requests, of the planners that ran at the end.
     pub cpu_ms: f64,
-    /// In flight by tenths of a second over the run: in all, and by planner.
+    /// Mean jobs in flight for each tenth of a second: in total, and by planner.
     pub flight: Vec<(f64, Vec<f64>)>,
-    /// Planners that were started.
+    /// Number of planner starts.
     pub starts: usize,
 }
 
@@ -129,7 +133,7 @@
             self.ends.iter().map(|(end, count)| (format!("{end:?}"), json!(count))).collect();
         json!({"broken": self.broken, "unused": self.unused, "ends": ends, "toldWhen": self.told_when,
             "mostInFlight": self.most_in_flight, "usedInFlight": self.used.0, "usedRate": self.used.1, "worstWindow": self.window,
-            "datagramsPerS": self.said.0, "bytesPerS": self.said.1, "cpuMsPerThousand": self.cpu_ms,
+            "datagramsPerS": self.sent_per_s.0, "bytesPerS": self.sent_per_s.1, "cpuMsPerThousand": self.cpu_ms,
             "starts": self.starts})
     }
 }
@@ -146,13 +150,13 @@
         Way::Parts => 1.0 / n as f64,
     };
     let scope = if options.way == Way::Fleet { ", scope: \"fleet\"" } else { "" };
-    let whole = |count: u64| ((count as f64 * shares).floor() as u64).max(1);
+    let part_of = |count: u64| ((count as f64 * shares).floor() as u64).max(1);
     let limits = format!(
-        "limits: {{ default: {{ totalMs: {TOTAL_MS}, attempts: 4, retryBudget: {}, retryFloor: {}{scope} }}, classes: {{ \
+        "limits: {{ default: {{ totalMs: {JOB_TIMEOUT_MS}, attempts: 4, retryBudget: {}, retryFloor: {}{scope} }}, classes: {{ \
          stateless: {{ inFlight: {}{scope} }}, keyed: {{ ratePerS: {}, burst: {}{scope} }} }} }}",
         options.retry.0,
         (options.retry.1 as f64 * shares).floor(),
-        whole(in_flight),
+        part_of(in_flight),
         options.keyed.0 * shares,
         (options.keyed.1 * shares).max(1.0),
     );
@@ -160,7 +164,7 @@
         return format!("{{ {limits} }}");
     }
     let planner = |at: usize| {
-        // Its own entry is never used.
+        // A planner does not use its own entry.
         let address = if at == me { listen } else { net.address(me, at) };
         json!({"name": name(at), "address": address.to_string()})
     };
@@ -173,16 +177,16 @@
     format!("{{ fleet: {fleet}, {limits} }}")
 }
 
-/// A planner's process and what it is started with.
-struct Seat {
+/// A planner's process and the addresses that it keeps across restarts.
+struct PlannerSlot {
     planner: Option<Planner>,
     owners: SocketAddr,
     peers: SocketAddr,
-    /// One that was told to stop and has not yet.
+    /// Waits for the exit of a planner that was sent SIGTERM.
     stopping: Option<std::thread::JoinHandle<io::Result<()>>>,
 }
 
-impl Seat {
+impl PlannerSlot {
     fn start(
         &mut self,
         program: &Program,
@@ -201,16 +205,17 @@
     }
 }
 
+/// An action that a step of the schedule causes later.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Later {
+enum Deferred {
     Start(usize),
     Continue(usize),
 }
 
-/// Runs it.
+/// Runs the experiment.
 ///
 /// # Errors
-/// If a part of it cannot be started or reached.
+/// If a process or node cannot be started or reached.
 pub fn run(program: &Program, options: &Options) -> io::Result<Report> {
     let clock = Clock::start();
     let plan = |at: usize| Plan {
@@ -227,20 +232,20 @@
     let nodes = nodes(options.nodes, clock, plan)?;
     let addresses: Vec<SocketAddr> = nodes.iter().map(|n| n.address()).collect();
     let net = Net::start(options.planners, options.seed)?;
-    let seat = |_| Ok(Seat { planner: None, owners: address()?, peers: address()?, stopping: None });
-    let mut seats = (0..options.planners).map(seat).collect::<io::Result<Vec<Seat>>>()?;
-    for (me, seat) in seats.iter_mut().enumerate() {
-        seat.start(program, options, (&net, options.in_flight), &addresses, me)?;
+    let slot = |_| Ok(PlannerSlot { planner: None, owners: address()?, peers: address()?, stopping: None });
+    let mut planner_slots = (0..options.planners).map(slot).collect::<io::Result<Vec<PlannerSlot>>>()?;
+    for (me, slot) in planner_slots.iter_mut().enumerate() {
+        slot.start(program, options, (&net, options.in_flight), &addresses, me)?;
     }
-    let taps: Vec<Tap> = (0..options.planners).map(|_| Tap::default()).collect();
-    let even = || taps.iter().for_each(|tap| tap.set(options.rate / options.planners as f64));
+    let controls: Vec<LoadControl> = (0..options.planners).map(|_| LoadControl::default()).collect();
+    let even = || controls.iter().for_each(|control| control.set(options.rate / options.planners as f64));
     even();
     let shape = |at: usize| Shape {
         rate: 0.0,
         span: Duration::ZERO,
         rest: 0.0,
         keyed: 0.4,
-        deadline: Duration::from_millis(TOTAL_MS),
+        deadline: Duration::from_millis(JOB_TIMEOUT_MS),
         services: (0..8).map(|n| format!("search-{n}")).collect(),
         seed: options.seed.wrapping_add(at as u64),
         room: (0.25, 0.5),
@@ -250,48 +255,54 @@
     };
     let began = Instant::now();
     let mut starts = options.planners;
-    let (logs, used, span, world) = std::thread::scope(|scope| -> io::Result<_> {
-        let pours: Vec<_> = taps
+    let (logs, used, span, experiment) = std::thread::scope(|scope| -> io::Result<_> {
+        let loads: Vec<_> = controls
             .iter()
             .enumerate()
-            .map(|(at, tap)| {
-                let (shape, to) = (shape(at), seats[at].owners);
-                scope.spawn(move || pour(&shape, to, tap))
+            .map(|(at, control)| {
+                let (shape, to) = (shape(at), planner_slots[at].owners);
+                scope.spawn(move || run_controlled(&shape, to, control))
             })
             .collect();
-        let wholes = RefCell::new(vec![(clock.at(began), options.in_flight)]);
-        let world = World {
+        let limits_in_flight = RefCell::new(vec![(clock.at(began), options.in_flight)]);
+        let experiment = Experiment {
             program,
             options,
             net: &net,
             nodes: &nodes,
             addresses: &addresses,
-            taps: &taps,
+            controls: &controls,
             clock,
-            wholes,
+            limits_in_flight,
             unused: RefCell::default(),
             waited: RefCell::default(),
         };
-        let played = world.play(&mut seats, began, &mut starts);
+        let played = experiment.run_schedule(&mut planner_slots, began, &mut starts);
         let used: Vec<u64> =
-            seats.iter().filter_map(|s| Some(s.planner.as_ref()?.used().cpu_ticks)).collect();
-        taps.iter().for_each(Tap::shut);
+            planner_slots.iter().filter_map(|s| Some(s.planner.as_ref()?.used().cpu_ticks)).collect();
+        controls.iter().for_each(LoadControl::stop);
         let mut logs = Vec::new();
-        for pour in pours {
-            logs.push(pour.join().map_err(|_| io::Error::other("a load broke off"))??);
+        for load in loads {
+            logs.push(load.join().map_err(|_| io::Error::other("a load generator panicked"))??);
         }
         let span = played?;
-        Ok((logs, used, span, world))
+        Ok((logs, used, span, experiment))
     })?;
     let until = clock.at(began + span);
     let ledgers: Vec<Ledger> = nodes.iter().map(Node::ledger).collect();
     let twice: u64 = logs.iter().map(|(_, twice)| twice).sum();
     let logs: Vec<Asked> = logs.into_iter().flat_map(|(log, _)| log).collect();
-    let mut report =
-        judge(options, &clock, (clock.at(began), until), &world.wholes.borrow(), &ledgers, &logs);
-    (report.unused, report.waited) = (world.unused.take(), world.waited.take());
+    let mut report = judge(
+        options,
+        &clock,
+        (clock.at(began), until),
+        &experiment.limits_in_flight.borrow(),
+        &ledgers,
+        &logs,
+    );
+    (report.unused, report.waited) = (experiment.unused.take(), experiment.waited.take());
     if twice > 0 {
-        report.broken.push(format!("{twice} second final answers"));
+        report.broken.push(format!("{twice} second final answers received"));
     }
     let ms: u64 = used.iter().sum::<u64>() * 10;
     report.cpu_ms = ms as f64 * 1e3 / logs.len().max(1) as f64;
@@ -299,32 +310,33 @@
     let each = |of: fn(&Passed) -> u64| {
         passed.iter().map(of).sum::<u64>() as f64 / options.planners as f64 / span.as_secs_f64()
     };
-    report.said = (each(|p| p.came), each(|p| p.bytes));
+    report.sent_per_s = (each(|p| p.came), each(|p| p.bytes));
     report.starts = starts;
     Ok(report)
 }
 
-struct World<'a> {
+/// All parts of a running experiment.
+struct Experiment<'a> {
     program: &'a Program,
     options: &'a Options,
     net: &'a Net,
     nodes: &'a [Node],
     addresses: &'a [SocketAddr],
-    taps: &'a [Tap],
+    controls: &'a [LoadControl],
     clock: Clock,
-    /// Jobs in flight by the files, each with when they were written.
-    wholes: RefCell<Vec<(Duration, u64)>>,
+    /// Limits for jobs in flight, with the times at which their files were written.
+    limits_in_flight: RefCell<Vec<(Duration, u64)>>,
     unused: RefCell<Vec<String>>,
     waited: RefCell<Vec<Duration>>,
 }
 
-impl World<'_> {
-    /// Jobs in flight by the files in force.
+impl Experiment<'_> {
+    /// The limit for jobs in flight of the latest files.
     fn whole(&self) -> u64 {
-        self.wholes.borrow().last().map_or(self.options.in_flight, |(_, units)| *units)
+        self.limits_in_flight.borrow().last().map_or(self.options.in_flight, |(_, units)| *units)
     }
 
-    /// Shares of the jobs in flight and of the rate that were used over so long.
+    /// Mean use of the limit for jobs in flight and of the rate over the last `over`, as shares.
     fn used(&self, over: Duration) -> (f64, f64) {
         let until = self.clock.at(Instant::now());
         let span = (until.saturating_sub(over), until);
@@ -337,7 +349,7 @@
         (mean_at_once(&flight, span) / whole, keyed as f64 / over.as_secs_f64() / rate)
     }
 
-    /// Waits until both budgets were used to more than that share over so long; tells how long.
+    /// Waits until more than this share of both budgets was used over `over`; returns how long that took.
     fn wait_for_use(&self, share: f64, over: Duration) -> Duration {
         let since = Instant::now();
         loop {
@@ -345,25 +357,30 @@
             if used.0 > share && used.1 > share {
                 return since.elapsed();
             }
-            if since.elapsed() > PATIENCE {
+            if since.elapsed() > USE_TIMEOUT {
                 self.unused.borrow_mut().push(format!(
-                    "{used:?} of the budgets was used over {over:?}, {PATIENCE:?} after more than {share} was due"
+                    "use {used:?} over {over:?} did not exceed {share} within {USE_TIMEOUT:?}"
                 ));
                 return since.elapsed();
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Plays the schedule to the end of the run; tells how long that took with all that was waited for.
-    fn play(&self, seats: &mut [Seat], began: Instant, starts: &mut usize) -> io::Result<Duration> {
-        // What is waited for puts off all later steps.
+    /// Runs the schedule to the end of the run; returns how long that took, including all waits.
+    fn run_schedule(
+        &self,
+        planner_slots: &mut [PlannerSlot],
+        began: Instant,
+        starts: &mut usize,
+    ) -> io::Result<Duration> {
+        // Total time of waits, by which all later steps are delayed.
         let mut waited = Duration::ZERO;
-        let mut later: BinaryHeap<Reverse<(Duration, Later)>> = BinaryHeap::new();
+        let mut deferred: BinaryHeap<Reverse<(Duration, Deferred)>> = BinaryHeap::new();
         let mut steps = self.options.schedule.0.iter().peekable();
         loop {
             let step = steps.peek().map(|s| waited + Duration::from_millis(s.at_ms));
-            let other = later.peek().map(|Reverse((at, _))| *at);
+            let other = deferred.peek().map(|Reverse((at, _))| *at);
             let next = [step, other].into_iter().flatten().min().unwrap_or(Duration::MAX);
             let end = waited + self.options.span;
             std::thread::sleep(next.min(end).saturating_sub(began.elapsed()));
@@ -378,65 +395,71 @@
                     waited += took;
                     continue;
                 }
-                self.act(&step.what, seats, next, &mut later)?;
-            } else if let Some(Reverse((_, what))) = later.pop() {
+                self.act(&step.what, planner_slots, next, &mut deferred)?;
+            } else if let Some(Reverse((_, what))) = deferred.pop() {
                 match what {
-                    Later::Start(at) if seats[at].stopping.as_ref().is_some_and(|s| !s.is_finished()) => {
-                        later.push(Reverse((next + LOOK, Later::Start(at))));
+                    Deferred::Start(at)
+                        if planner_slots[at].stopping.as_ref().is_some_and(|s| !s.is_finished()) =>
+                    {
+                        deferred.push(Reverse((next + POLL_INTERVAL, Deferred::Start(at))));
                     }
-                    Later::Start(at) if seats[at].planner.is_none() => {
+                    Deferred::Start(at) if planner_slots[at].planner.is_none() => {
                         *starts += 1;
-                        if let Some(stopping) = seats[at].stopping.take() {
-                            stopping.join().map_err(|_| io::Error::other("nobody waited for a stop"))??;
+                        if let Some(stopping) = planner_slots[at].stopping.take() {
+                            stopping
+                                .join()
+                                .map_err(|_| io::Error::other("the stopping thread panicked"))??;
                         }
-                        self.taps[at].hold(false);
+                        self.controls[at].pause(false);
                         let file = (self.net, self.whole());
-                        seats[at].start(self.program, self.options, file, self.addresses, at)?;
+                        planner_slots[at].start(self.program, self.options, file, self.addresses, at)?;
                     }
-                    Later::Start(_) => {}
-                    Later::Continue(at) => {
-                        // It may have been killed meanwhile.
-                        let _ = seats[at].planner.as_ref().map(|p| p.signal("CONT"));
+                    Deferred::Start(_) => {}
+                    Deferred::Continue(at) => {
+                        // The planner may have been killed meanwhile.
+                        let _ = planner_slots[at].planner.as_ref().map(|p| p.signal("CONT"));
                     }
                 }
             }
         }
-        // Whoever is stopped still goes on, so that all can be asked what they used.
-        seats.iter().filter_map(|s| s.planner.as_ref()).for_each(|p| drop(p.signal("CONT")));
+        // Resumes all suspended planners, so that the CPU use of all can be read.
+        planner_slots.iter().filter_map(|s| s.planner.as_ref()).for_each(|p| drop(p.signal("CONT")));
         Ok(waited + self.options.span)
     }
 
     fn act(
         &self,
         what: &What,
-        seats: &mut [Seat],
+        planner_slots: &mut [PlannerSlot],
         now: Duration,
-        later: &mut BinaryHeap<Reverse<(Duration, Later)>>,
+        deferred: &mut BinaryHeap<Reverse<(Duration, Deferred)>>,
     ) -> io::Result<()> {
         let after = |ms: u64| now + Duration::from_millis(ms);
         match what {
-            What::Weather { .. } | What::Part { .. } | What::Heal => self.net.take(what),
+            What::Weather { .. } | What::Part { .. } | What::Heal => self.net.apply(what),
             What::Kill { planner, again_ms } => {
-                if seats[*planner].planner.take().is_some() {
-                    later.extend(again_ms.map(|ms| Reverse((after(ms), Later::Start(*planner)))));
+                if planner_slots[*planner].planner.take().is_some() {
+                    deferred.extend(again_ms.map(|ms| Reverse((after(ms), Deferred::Start(*planner)))));
                 }
             }
             What::Term { planner, again_ms } => {
-                if let Some(stopping) = seats[*planner].planner.take() {
-                    // One that is stopped cannot heed it.
+                if let Some(stopping) = planner_slots[*planner].planner.take() {
+                    // A suspended process would not handle SIGTERM.
                     let _ = stopping.signal("CONT");
-                    // Its clients go elsewhere, or it would have to answer them to its longest deadline.
-                    self.taps[*planner].hold(true);
-                    let patience = Duration::from_secs(12);
-                    seats[*planner].stopping = Some(std::thread::spawn(move || stopping.stop(patience)));
-                    later.extend(again_ms.map(|ms| Reverse((after(ms), Later::Start(*planner)))));
+                    // Stops its load: the planner exits only after it has answered all requests, up to their
+                    // deadline.
+                    self.controls[*planner].pause(true);
+                    let timeout = Duration::from_secs(12);
+                    planner_slots[*planner].stopping =
+                        Some(std::thread::spawn(move || stopping.stop(timeout)));
+                    deferred.extend(again_ms.map(|ms| Reverse((after(ms), Deferred::Start(*planner)))));
                 }
             }
             What::Stop { planner, for_ms } => {
-                if let Some(planner) = &seats[*planner].planner {
+                if let Some(planner) = &planner_slots[*planner].planner {
                     planner.signal("STOP")?;
                 }
-                later.push(Reverse((after(*for_ms), Later::Continue(*planner))));
+                deferred.push(Reverse((after(*for_ms), Deferred::Continue(*planner))));
             }
             What::Slow { node, for_ms } => {
                 self.nodes[*node].act(Act::Pause(Duration::from_millis(*for_ms)));
@@ -444,34 +467,36 @@
             What::Reset { node } => self.nodes[*node].act(Act::Reset),
             What::Lean { planner, share } => {
                 let others = (self.options.planners - 1).max(1) as f64;
-                for (at, tap) in self.taps.iter().enumerate() {
+                for (at, control) in self.controls.iter().enumerate() {
                     let part = if at == *planner { *share } else { (1.0 - share) / others };
-                    tap.set(self.options.rate * part);
+                    control.set(self.options.rate * part);
                 }
             }
             What::Whole { units } => {
-                self.wholes.borrow_mut().push((self.clock.at(Instant::now()), *units));
-                for (me, seat) in seats.iter().enumerate() {
-                    if let Some(planner) = &seat.planner {
-                        planner.reload(&file(self.options, self.net, *units, me, seat.peers))?;
+                self.limits_in_flight.borrow_mut().push((self.clock.at(Instant::now()), *units));
+                for (me, slot) in planner_slots.iter().enumerate() {
+                    if let Some(planner) = &slot.planner {
+                        planner.reload(&file(self.options, self.net, *units, me, slot.peers))?;
                     }
                 }
             }
             What::Used { .. } => {}
             What::Even => {
-                self.taps.iter().for_each(|tap| tap.set(self.options.rate / self.options.planners as f64));
+                self.controls
+                    .iter()
+                    .for_each(|control| control.set(self.options.rate / self.options.planners as f64));
             }
         }
         Ok(())
     }
 }
 
-/// The jobs in flight that are allowed from when to when: a file that raises them holds at once, one that lowers them once
-/// all that was held by the old ones has lapsed.
-fn allowed_in(options: &Options, wholes: &[(Duration, u64)]) -> Vec<(Duration, Duration, u64)> {
-    let lapse = Duration::from_millis(options.lease_ms + options.lease_ms / 50) + RELOADED;
+/// The allowed number of jobs in flight for each period (from, to). A file that raises the limit applies at
+/// once; one that lowers it applies once all leases under the old files have expired.
+fn allowed_in(options: &Options, limits_in_flight: &[(Duration, u64)]) -> Vec<(Duration, Duration, u64)> {
+    let lapse = Duration::from_millis(options.lease_ms + options.lease_ms / 50) + RELOAD_TIME;
     let (mut all, mut from, mut allowed) = (Vec::new(), Duration::ZERO, options.in_flight);
-    for &(at, units) in wholes {
+    for &(at, units) in limits_in_flight {
         let at = if units < allowed { at + lapse } else { at };
         all.push((from, at, allowed));
         (from, allowed) = (at, units);
@@ -480,24 +505,26 @@
     all
 }
 
-/// From the first offer of a stateless job that came to a machine to the end of its last: it is in flight for certain.
+/// The span from a stateless job's first offer at a machine to the end of its last attempt; the job is
+/// certainly in flight then.
 fn in_flight(attempts: &[Attempt]) -> Option<(Duration, Duration)> {
     attempts.first().filter(|a| a.class == "stateless")?;
-    let ends = attempts.iter().map(|a| if a.by_word { a.until } else { a.until.saturating_sub(SLACK) });
+    let ends =
+        attempts.iter().map(|a| if a.ended_by_machine { a.until } else { a.until.saturating_sub(END_SLACK) });
     Some((attempts.iter().map(|a| a.from).min()?, ends.max()?))
 }
 
-/// The planner whose client made an ask.
+/// The planner to which the job was sent.
 fn planner_of(job: u64) -> usize {
     ((job >> 32) as usize).saturating_sub(1)
 }
 
-/// Holds what machines and clients saw against the budgets.
+/// Checks the budgets against the machines' ledgers and the clients' logs.
 fn judge(
     options: &Options,
     clock: &Clock,
     (began, until): (Duration, Duration),
-    wholes: &[(Duration, u64)],
+    limits_in_flight: &[(Duration, u64)],
     ledgers: &[Ledger],
     logs: &[Asked],
 ) -> Report {
@@ -514,41 +541,41 @@
         }
     }
     let mut most = 0;
-    for (from, to, allowed) in allowed_in(options, wholes) {
+    for (from, to, allowed) in allowed_in(options, limits_in_flight) {
         let part = flight.iter().map(|&(a, b)| (a.max(from), b.min(to))).filter(|(a, b)| a < b).collect();
-        let (here, when) = most_at_once(&part);
-        most = most.max(here);
-        if here as u64 > allowed {
-            broken.push(format!("{here} jobs in flight at {when:?}; {allowed} are allowed"));
+        let (count_here, when) = most_at_once(&part);
+        most = most.max(count_here);
+        if count_here as u64 > allowed {
+            broken.push(format!("{count_here} jobs in flight at {when:?}; {allowed} allowed"));
         }
     }
-    // Taken in for certain between what its client sent and the first offer.
+    // A keyed job was certainly admitted between the client's send and the first offer.
     let sent: BTreeMap<u64, Duration> = logs.iter().map(|a| (a.id, clock.at(a.sent))).collect();
     let mut keyed: Spans = Vec::new();
-    let mut further: Vec<Duration> = Vec::new();
+    let mut retries: Vec<Duration> = Vec::new();
     for (job, attempts) in &jobs {
         let Some(first) = attempts.first() else { continue };
         if let Some(sent) = sent.get(job).filter(|_| first.class == "keyed") {
             keyed.push((*sent, first.from.max(*sent)));
         }
-        further.extend(attempts.iter().skip(1).map(|a| a.from));
+        retries.extend(attempts.iter().skip(1).map(|a| a.from));
     }
     let window = worst_window(&keyed, options.keyed.0, options.keyed.1);
     if window > 1e-6 {
-        broken.push(format!("{window:.1} keyed jobs too many in a window"));
+        broken.push(format!("{window:.1} keyed jobs over the rate in a window"));
     }
-    further.sort_unstable();
+    retries.sort_unstable();
     let mut sends: Vec<Duration> = sent.values().copied().collect();
     sends.sort_unstable();
     let count = |all: &[Duration], from: Duration, until: Duration| {
         all.partition_point(|t| *t <= until) - all.partition_point(|t| *t < from)
     };
-    for &at in &further {
-        let tries = count(&further, at.saturating_sub(Duration::from_secs(TRIES_S.0)), at);
-        let firsts = count(&sends, at.saturating_sub(Duration::from_secs(TRIES_S.1)), at);
-        let allowed = options.retry.1 as f64 + options.retry.0 * firsts as f64;
+    for &at in &retries {
+        let tries = count(&retries, at.saturating_sub(Duration::from_secs(RETRY_WINDOWS_S.0)), at);
+        let first_attempts = count(&sends, at.saturating_sub(Duration::from_secs(RETRY_WINDOWS_S.1)), at);
+        let allowed = options.retry.1 as f64 + options.retry.0 * first_attempts as f64;
         if tries as f64 > allowed {
-            broken.push(format!("{tries} further tries within 9 s at {at:?}; {allowed:.1} are allowed"));
+            broken.push(format!("{tries} retries within 9 s at {at:?}; {allowed:.1} allowed"));
             break;
         }
     }
@@ -567,7 +594,7 @@
     logs.iter().for_each(|a| *ends.entry(a.end).or_default() += 1);
     let told_when = logs.iter().filter(|a| a.end == End::TurnedAway && a.told_when).count() as u64;
     let flight = flight.collect();
-    let (said, cpu_ms, starts, unused, waited) = ((0.0, 0.0), 0.0, 0, Vec::new(), Vec::new());
+    let (sent_per_s, cpu_ms, starts, unused, waited) = ((0.0, 0.0), 0.0, 0, Vec::new(), Vec::new());
     Report {
         broken,
         unused,
@@ -577,7 +604,7 @@
         most_in_flight: most,
         used,
         window,
-        said,
+        sent_per_s,
         cpu_ms,
         flight,
         starts,
--- a/lab/src/rigs/fleet.rs
+++ b/lab/src/rigs/fleet.rs
@@ -1,6 +1,6 @@
-//! Planners over more machines than they have descriptors, and planners that share a fault: how late ends are told, what
-//! a planner uses, and how far its dials fall in one moment with those of the others. All figures come from the
-//! machines' ledgers, the owners' connections and the system.
+//! Planners with more machines than file descriptors, and planners that share a fault: the delay until owners
+//! learn of task ends, the resources of a planner, and whether planners dial machines in bursts. All figures
+//! come from the machines' ledgers, the owners' connections and the operating system.
 
 use super::nodes;
 use crate::load::{self, Shape, Tally};
@@ -14,26 +14,26 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// What the rig does.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Planners, each a process of its own; the load is divided among them.
+    /// Number of planners, each a process; the load is divided among them.
     pub planners: usize,
-    /// Machines.
+    /// Number of machines.
     pub nodes: usize,
-    /// Descriptors that each planner has.
+    /// Limit on file descriptors of each planner.
     pub sockets: u32,
-    /// Planners that the settings tell of.
+    /// Number of planners according to the settings.
     pub listed: u32,
-    /// Asks a second.
+    /// Requests per second.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the load.
     pub span: Duration,
-    /// Whether all connections to all machines are reset at half of the time.
+    /// Whether all connections to all machines are reset at half time.
     pub reset: bool,
-    /// How long a task runs, in milliseconds.
+    /// Run time of a task, in milliseconds.
     pub life_ms: (u64, u64),
-    /// Seed of nodes and load.
+    /// Seed for nodes and load.
     pub seed: u64,
 }
 
@@ -53,40 +53,42 @@
     }
 }
 
-/// What came of it.
+/// Results of the experiment.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The asks of all loads.
+    /// Results of each planner's load.
     pub tallies: Vec<Tally>,
-    /// Milliseconds from the end of each task at its machine to the word at its owner, ascending; of one planner alone.
+    /// Milliseconds from the end of each task at its machine to the release at its owner, ascending; only
+    /// measured with one planner.
     pub late_ms: Vec<u64>,
-    /// Ends at machines of which no word came by the end of the run, of those older than the protocol's 8 s.
+    /// Task ends without a release by the end of the run; ends in its last 8 s, the protocol's limit, are not
+    /// counted.
     pub untold: usize,
-    /// The most descriptors that a planner held.
+    /// Highest number of file descriptors of any planner.
     pub descriptors: usize,
-    /// What the planners used.
+    /// Resources used by the planners.
     pub used: Vec<Used>,
-    /// Connections that came up at all machines in the two seconds from the first planner's start on, and the most of
-    /// them in one tenth of a second.
+    /// Connections opened at all machines in the two seconds from the first planner's start, and the maximum
+    /// in any tenth of a second.
     pub start: (usize, usize),
-    /// The same from the shared fault on.
+    /// The same from the shared fault.
     pub fault: (usize, usize),
 }
 
 impl Report {
-    /// Milliseconds within which this share of the ends was told.
+    /// Milliseconds within which this share of the task ends was reported.
     pub fn late(&self, share: f64) -> u64 {
         let at = (self.late_ms.len() as f64 * share) as usize;
         self.late_ms.get(at.min(self.late_ms.len().saturating_sub(1))).copied().unwrap_or_default()
     }
 
-    /// Asks with an end of that kind.
+    /// Number of requests with this outcome.
     pub fn count(&self, end: load::End) -> u64 {
         self.tallies.iter().map(|t| t.count(end)).sum()
     }
 }
 
-/// Connections that came up within two seconds from then on, and the most in one tenth of a second.
+/// Connections opened within two seconds from `from`, and the maximum in any tenth of a second.
 fn burst(ledgers: &[Ledger], from: Duration) -> (usize, usize) {
     let mut tenths: BTreeMap<u128, usize> = BTreeMap::new();
     let opened = ledgers.iter().flat_map(|l| &l.entries).filter(|e| e.what == What::Opened);
@@ -96,10 +98,10 @@
     (tenths.values().sum(), tenths.values().copied().max().unwrap_or_default())
 }
 
-/// Runs it.
+/// Runs the experiment.
 ///
 /// # Errors
-/// If a part of it cannot be started or reached.
+/// If a process or node cannot be started or reached.
 pub fn run(program: &Program, options: &Options) -> io::Result<Report> {
     let clock = Clock::start();
     let plan = |at: usize| Plan {
@@ -111,7 +113,7 @@
     };
     let nodes = nodes(options.nodes, clock, plan)?;
     let addresses: Vec<SocketAddr> = nodes.iter().map(|n| n.address()).collect();
-    let program = program.within(options.sockets);
+    let program = program.with_descriptor_limit(options.sockets);
     let from = clock.now();
     let start = |at: usize| {
         let mut config = config(&addresses, options.seed.wrapping_mul(1000).wrapping_add(at as u64));
@@ -155,7 +157,7 @@
             nodes.iter().for_each(|node| node.act(Act::Reset));
         }
         let join = |l: std::thread::ScopedJoinHandle<'_, io::Result<Tally>>| {
-            l.join().map_err(|_| io::Error::other("a load broke off"))?
+            l.join().map_err(|_| io::Error::other("a load generator panicked"))?
         };
         let tallies: io::Result<Vec<Tally>> = loads.into_iter().map(join).collect();
         done.store(true, Ordering::Relaxed);
@@ -166,11 +168,11 @@
     let ledgers: Vec<Ledger> = nodes.iter().map(|n| n.ledger()).collect();
     let (mut late_ms, mut untold) = (Vec::new(), 0);
     if options.planners == 1 {
-        let told: BTreeMap<u64, Duration> =
+        let released: BTreeMap<u64, Duration> =
             tallies.iter().flat_map(|t| &t.released).map(|&(id, at)| (id, clock.at(at))).collect();
         for ended in ledgers.iter().flat_map(|l| &l.entries).filter(|e| e.what == What::Ended) {
-            match told.get(&ended.job) {
-                Some(&told) => late_ms.push(told.saturating_sub(ended.at).as_millis() as u64),
+            match released.get(&ended.job) {
+                Some(&at) => late_ms.push(at.saturating_sub(ended.at).as_millis() as u64),
                 None => untold += usize::from(ended.at < ended_by),
             }
         }
--- a/lab/src/rigs/groups.rs
+++ b/lab/src/rigs/groups.rs
@@ -1,5 +1,5 @@
-//! Groups beside ordinary load, on nodes that refuse, stall, reset, hang and drain at random. Partial times, doubled
-//! members and attempts are counted from the nodes' ledgers, never from what the planner says.
+//! Groups beside ordinary load, on nodes that refuse, stall, reset, hang and drain at random. Partial times,
+//! doubled members and attempts are counted from the nodes' ledgers, not from the planner's answers.
 
 use super::nodes;
 use crate::audit::{audit, groups, Allowed, GroupVerdict, Verdict};
@@ -17,30 +17,30 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Tasks of the rig's size that a node holds; the planner knows of as many.
+/// Count. Tasks of size `TASK` that a node holds; the planner's settings allow the same number.
 const SLOTS: usize = 40;
 
-/// Cores and memory of every task of the rig.
+/// Cores and memory of every task.
 const TASK: (f64, f64) = (2.0, 3.0);
 
-/// What the rig does.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Groups a second.
+    /// Groups per second.
     pub groups: f64,
-    /// Members, least and most.
+    /// Minimum and maximum number of members.
     pub members: (usize, usize),
-    /// For how long.
+    /// Duration of the load.
     pub span: Duration,
-    /// Share of the fleet that ordinary load takes.
+    /// Share of the fleet's capacity that ordinary load uses.
     pub load: f64,
-    /// Each member on its own, all cut by hand where one fails: what groups are measured against.
+    /// Submits each member as a job of its own and deletes all if one fails; the baseline for groups.
     pub naive: bool,
     /// Whether nodes fail.
     pub faults: bool,
-    /// Seed of nodes, load and groups.
+    /// Seed for nodes, load and groups.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
 }
 
@@ -59,29 +59,29 @@
     }
 }
 
-/// What came of it.
+/// Results of the experiment.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Groups asked for.
+    /// Number of groups requested.
     pub asked: usize,
-    /// Answers by status; 0 where none came.
+    /// Answers by HTTP status; 0 stands for no answer.
     pub answers: BTreeMap<u16, usize>,
-    /// Groups by the ledgers.
+    /// Audit of the groups from the ledgers.
     pub groups: GroupVerdict,
-    /// Milliseconds in which groups stood in part.
+    /// Milliseconds in which groups ran only partially.
     pub partial_ms: Histogram<u64>,
-    /// Partial times over a second.
+    /// Number of partial times over one second.
     pub over: usize,
-    /// Attempts by the ledgers.
+    /// Audit of the attempts from the ledgers.
     pub verdict: Verdict,
-    /// Ordinary load beside them.
+    /// Results of the ordinary load.
     pub tally: Tally,
-    /// What the planner used.
+    /// Resources used by the planner.
     pub used: Used,
 }
 
 impl Report {
-    /// Share of groups that were placed whole.
+    /// Share of groups that were placed completely.
     pub fn placed(&self) -> f64 {
         let placed = [200, 201].iter().filter_map(|s| self.answers.get(s)).sum::<usize>();
         placed as f64 / self.asked.max(1) as f64
@@ -93,8 +93,8 @@
   groups: { default: { partialMs: 1000, share: 0.6 } },
 }";
 
-/// What befalls the nodes: at any time one of them stalls, is reset, hangs and goes on, or drains and opens again.
-fn befall(nodes: &[Node], seed: u64, done: &AtomicBool) {
+/// Injects faults into random nodes: a pause, a reset, a hang and its end, or a drain and its end.
+fn inject_faults(nodes: &[Node], seed: u64, done: &AtomicBool) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xfa);
     let mut later: Vec<(u32, usize, Act)> = Vec::new();
     let mut turn = 0;
@@ -107,7 +107,7 @@
             }
             due > turn
         });
-        // A fault every 400 ms or so; never more than a third of the nodes hang or drain.
+        // One fault per 400 ms on average; at most a third of the nodes hang or drain.
         if !rng.gen_bool(0.125) {
             continue;
         }
@@ -135,14 +135,19 @@
         "memory": TASK.1, "description": format!("POST /pipeline/{group}/{at}/{of}")})
 }
 
-/// Group, member and number of members from a member's description.
-fn place(body: &str) -> Option<(u64, usize, usize)> {
+/// Parses group, member and number of members from a member's description.
+fn parse_member(body: &str) -> Option<(u64, usize, usize)> {
     let mut parts = body.strip_prefix("POST /pipeline/")?.split('/');
     Some((parts.next()?.parse().ok()?, parts.next()?.parse().ok()?, parts.next()?.parse().ok()?))
 }
 
-/// Each member on its own: where one is not placed, all others are ended by hand.
-async fn naively(client: &load::RestClient, rest: SocketAddr, members: Vec<Value>, key: &str) -> u16 {
+/// Submits each member as a job of its own; if one is not placed, deletes all others.
+async fn submit_separately(
+    client: &load::RestClient,
+    rest: SocketAddr,
+    members: Vec<Value>,
+    key: &str,
+) -> u16 {
     let asks = members.into_iter().enumerate().map(|(at, mut member)| {
         let (client, key) = (client.clone(), format!("{key}/{at}"));
         tokio::spawn(async move {
@@ -167,7 +172,7 @@
     status
 }
 
-async fn ask_all(options: &Options, rest: SocketAddr) -> BTreeMap<u16, usize> {
+async fn submit_all(options: &Options, rest: SocketAddr) -> BTreeMap<u16, usize> {
     let client = load::client();
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed ^ 0x96);
     let started = tokio::time::Instant::now();
@@ -181,13 +186,13 @@
         let (client, naive, key) = (client.clone(), options.naive, format!("{}-{group}", options.seed));
         asked.push(tokio::spawn(async move {
             if naive {
-                return naively(&client, rest, members, &key).await;
+                return submit_separately(&client, rest, members, &key).await;
             }
             let body = json!({"members": members, "deadlineMs": 5000, "onLoss": "cut"});
-            let patience = Duration::from_secs(10);
-            let said =
-                tokio::time::timeout(patience, call(&client, "POST", rest, "/v1/groups", Some(&key), &body));
-            said.await.ok().flatten().map_or(0, |(status, _)| status)
+            let timeout = Duration::from_secs(10);
+            let answer =
+                tokio::time::timeout(timeout, call(&client, "POST", rest, "/v1/groups", Some(&key), &body));
+            answer.await.ok().flatten().map_or(0, |(status, _)| status)
         }));
     }
     let mut answers = BTreeMap::new();
@@ -197,10 +202,10 @@
     answers
 }
 
-/// Runs it.
+/// Runs the experiment.
 ///
 /// # Errors
-/// If a part of it cannot be started or reached.
+/// If a process or node cannot be started or reached.
 pub fn run(program: &Program, options: &Options) -> io::Result<Report> {
     let clock = Clock::start();
     let faults = f64::from(u8::from(options.faults));
@@ -218,10 +223,10 @@
     let nodes = nodes(options.nodes, clock, plan)?;
     let addresses: Vec<SocketAddr> = nodes.iter().map(|n| n.address()).collect();
     let mut config = config(&addresses, options.seed);
-    // Nobody else asks here and no list comes: what is free follows from the nodes' reports.
+    // There is no other client and no machine list: free capacity is taken from the nodes' load reports.
     config["settings"]["family_info"]["free_by"] = json!("asked");
     let planner = Planner::start(program, &config, Some(FILE))?;
-    let rest = planner.rest.ok_or_else(|| io::Error::other("no REST front"))?;
+    let rest = planner.rest.ok_or_else(|| io::Error::other("the planner has no REST front"))?;
     let ordinary = (options.load * (SLOTS * options.nodes) as f64 / 2.0).max(1.0);
     let shape = Shape {
         ids_after: 0,
@@ -239,24 +244,24 @@
     let done = AtomicBool::new(false);
     let (tally, answers) = std::thread::scope(|scope| -> io::Result<(Tally, BTreeMap<u16, usize>)> {
         if options.faults {
-            scope.spawn(|| befall(&nodes, options.seed, &done));
+            scope.spawn(|| inject_faults(&nodes, options.seed, &done));
         }
         let ordinary = scope.spawn(|| load::run(&shape, planner.owners, Some(rest)));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let answers = runtime.map(|runtime| runtime.block_on(ask_all(options, rest)));
+        let answers = runtime.map(|runtime| runtime.block_on(submit_all(options, rest)));
         let tally = ordinary.join();
         done.store(true, Ordering::Relaxed);
-        let tally = tally.map_err(|_| io::Error::other("the load broke off"))??;
+        let tally = tally.map_err(|_| io::Error::other("the load generator panicked"))??;
         Ok((tally, answers?))
     })?;
-    // What was told last is still on its way.
+    // Waits for messages that are still in transit.
     std::thread::sleep(Duration::from_millis(500));
     let used = planner.used();
     let ledgers: Vec<_> = nodes.iter().map(|n| n.ledger()).collect();
     let slack = Duration::from_millis(50);
     let verdict = audit(&ledgers, Allowed { attempts: 4, window: Duration::from_secs(6), slack });
-    let groups = groups(&ledgers, place, slack);
-    // The bounds are constants that the histogram takes.
+    let groups = groups(&ledgers, parse_member, slack);
+    // These constant bounds are always valid.
     let mut partial_ms = Histogram::new_with_bounds(1, 600_000, 3).unwrap_or_else(|_| unreachable!());
     groups.partial.iter().for_each(|time| partial_ms.saturating_record(time.as_millis() as u64));
     let over = groups.partial.iter().filter(|time| **time > Duration::from_secs(1)).count();
--- a/lab/src/rigs/mod.rs
+++ b/lab/src/rigs/mod.rs
@@ -1,4 +1,4 @@
-//! Rigs: a planner, stand-in nodes and load, put together for one question each.
+//! Experiments: each combines planners, stand-in nodes and load to answer one question.
 
 pub mod brownout;
 pub mod budgets;
@@ -11,7 +11,7 @@
 use crate::Clock;
 use std::io;
 
-/// So many nodes, each with a plan of its own.
+/// Starts `count` nodes, each with its own plan.
 pub(crate) fn nodes(count: usize, clock: Clock, plan: impl Fn(usize) -> Plan) -> io::Result<Vec<Node>> {
     (0..count).map(|at| Node::start("127.0.0.1:0", plan(at), clock)).collect()
 }
--- a/lab/src/rigs/reload.rs
+++ b/lab/src/rigs/reload.rs
@@ -1,5 +1,6 @@
-//! Reloads under load: asks through both fronts, a reload every 100 ms, good and bad files by turns, nodes that refuse,
-//! stall and reset. Every ask must have exactly one final answer, and the nodes' ledgers must show no broken rule.
+//! Reloads under load: requests through both fronts, a reload every 100 ms with valid and invalid files in
+//! turn, and nodes that refuse, stall and reset. Each request must have exactly one final answer, and the
+//! nodes' ledgers must show no broken rule.
 
 use super::nodes;
 use crate::audit::{audit, Allowed, Verdict};
@@ -12,22 +13,22 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// What the rig does.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Asks a second.
+    /// Requests per second.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the load.
     pub span: Duration,
-    /// Between reloads; none where there are none.
+    /// Interval of reloads; `None` for no reloads.
     pub every: Option<Duration>,
-    /// Seed of nodes and load.
+    /// Seed for nodes and load.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Whether there is an operators' file with limits at all.
+    /// Whether the operators' file has limits.
     pub limits: bool,
-    /// The REST front's section; where there are no limits, the whole file, in the form that the program takes.
+    /// The section of the REST front; without `limits`, the whole operators' file in the program's format.
     pub rest: String,
 }
 
@@ -45,30 +46,30 @@
     }
 }
 
-/// What came of it.
+/// Results of the experiment.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The asks.
+    /// Results of the load.
     pub tally: Tally,
-    /// The nodes' ledgers against the rules.
+    /// Audit of the nodes' ledgers.
     pub verdict: Verdict,
-    /// What the planner used.
+    /// Resources used by the planner.
     pub used: Used,
-    /// Reloads that were asked for.
+    /// Number of reloads requested.
     pub reloads: u64,
-    /// What the planner says of its limits at the end.
+    /// The planner's answer to `/v1/limits` at the end.
     pub in_force: serde_json::Value,
 }
 
-/// Attempts in the most generous of the good files.
-pub const MOST_ATTEMPTS: usize = 3;
+/// Highest number of attempts in any valid file.
+pub const MAX_ATTEMPTS: usize = 3;
 
-/// The files by turns: two good ones, one that breaks a rule, one that is cut off.
+/// The operators' file of a turn: of four files two are valid, one breaks a rule, and one is truncated.
 pub fn file(options: &Options, turn: u64) -> String {
     let rest = &options.rest;
     match turn % 4 {
         0 => format!(
-            "{{ {rest} limits: {{ default: {{ attempts: {MOST_ATTEMPTS}, totalMs: 4000 }},\n  routes: [\n    \
+            "{{ {rest} limits: {{ default: {{ attempts: {MAX_ATTEMPTS}, totalMs: 4000 }},\n  routes: [\n    \
              {{ name: \"notices\", match: {{ class: \"keyed\" }}, attemptMs: 1500, inFlight: 150, ratePerS: 60, \
              burst: 30, retryBudget: 0.5 }},\n    {{ name: \"search\", match: {{ service: \"search-*\" }}, \
              pauseMs: [20, 80] }} ] }} }}"
@@ -83,10 +84,10 @@
     }
 }
 
-/// Runs it.
+/// Runs the experiment.
 ///
 /// # Errors
-/// If a part of it cannot be started or reached.
+/// If a process or node cannot be started or reached.
 pub fn run(program: &Program, options: &Options) -> io::Result<Report> {
     let clock = Clock::start();
     let seed = options.seed;
@@ -136,26 +137,26 @@
         });
         let tally = load::run(&shape, planner.owners, planner.rest);
         done.store(true, Ordering::Relaxed);
-        let reloads = reloads.join().map_err(|_| io::Error::other("the reloads broke off"))??;
+        let reloads = reloads.join().map_err(|_| io::Error::other("the reload thread panicked"))??;
         Ok((tally?, reloads))
     })?;
     let used = planner.used();
     let in_force = planner.rest.map(|rest| get(rest, "/v1/limits")).transpose()?.unwrap_or_default();
     let ledgers: Vec<_> = nodes.iter().map(|n| n.ledger()).collect();
-    let attempts = if options.limits { MOST_ATTEMPTS } else { 4 };
+    let attempts = if options.limits { MAX_ATTEMPTS } else { 4 };
     let slack = Duration::from_millis(50);
     let verdict = audit(&ledgers, Allowed { attempts, window: Duration::from_secs(6), slack });
     Ok(Report { tally, verdict, used, reloads, in_force })
 }
 
-/// One GET, as JSON; null where there is none.
+/// The JSON body of the answer to a GET request; null if it is not JSON.
 pub(crate) fn get(from: SocketAddr, path: &str) -> io::Result<serde_json::Value> {
     use std::io::{Read, Write};
     let mut stream = std::net::TcpStream::connect(from)?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").as_bytes())?;
-    let mut said = String::new();
-    stream.read_to_string(&mut said)?;
-    let body = said.split_once("\r\n\r\n").map_or("", |(_, body)| body);
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer)?;
+    let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     Ok(serde_json::from_str(body).unwrap_or_default())
 }
