--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -28,7 +28,7 @@
     pub jobs: usize,
     /// Highest number of offers of one job.
     pub most_attempts: usize,
-    /// Violation rules; none in a good run.
+    /// Broken rules; none in a good run.
     pub broken: Vec<Violation>,
 }
 
--- a/lab/src/rigs/budgets.rs
+++ b/lab/src/rigs/budgets.rs
@@ -133,17 +133,17 @@
             self.ends.iter().map(|(end, count)| (format!("{end:?}"), json!(count))).collect();
         json!({"broken": self.broken, "unused": self.unused, "ends": ends, "toldWhen": self.told_when,
             "mostInFlight": self.most_in_flight, "usedInFlight": self.used.0, "usedRate": self.used.1, "worstWindow": self.window,
-            "datagramsPerS": self.sent_per_s.0, "bytesPerS": self.sent_per_s.1, "cpuMsPerThousand": self.cpu_ms,
-            "starts": self.starts})
+            "datagramsPerS": self.sent_per_s.0, "bytesPerS": self.sent_per_s.1,
+            "cpuMsPerThousand": self.cpu_ms, "starts": self.starts})
     }
 }
 
-fn name(planner: usize) -> String {
+fn planner_name(planner: usize) -> String {
     format!("p{planner}")
 }
 
 /// The operators' file of a planner.
-fn file(options: &Options, net: &Net, in_flight: u64, me: usize, listen: SocketAddr) -> String {
+fn operators_file(options: &Options, net: &Net, in_flight: u64, me: usize, listen: SocketAddr) -> String {
     let n = options.planners;
     let shares = match options.way {
         Way::Fleet | Way::Each => 1.0,
@@ -166,13 +166,13 @@
     let planner = |at: usize| {
         // A planner does not use its own entry.
         let address = if at == me { listen } else { net.address(me, at) };
-        json!({"name": name(at), "address": address.to_string()})
+        json!({"name": planner_name(at), "address": address.to_string()})
     };
     let planners: Vec<serde_json::Value> = (0..n).map(planner).collect();
-    let mut fleet = json!({"name": "lab", "own": name(me), "listen": listen.to_string(), "planners": planners,
-        "leaseMs": options.lease_ms, "floorShare": options.floor});
+    let mut fleet = json!({"name": "lab", "own": planner_name(me), "listen": listen.to_string(),
+        "planners": planners, "leaseMs": options.lease_ms, "floorShare": options.floor});
     if options.voters > 0 {
-        fleet["voters"] = (0..options.voters.min(n)).map(name).collect();
+        fleet["voters"] = (0..options.voters.min(n)).map(planner_name).collect();
     }
     format!("{{ fleet: {fleet}, {limits} }}")
 }
@@ -198,7 +198,8 @@
         let mut config = config(nodes, options.seed.wrapping_mul(1_000).wrapping_add(me as u64));
         config["settings"]["n_instances"] = json!(options.planners);
         config["listen"] = json!(self.owners.to_string());
-        let planner = Planner::start(program, &config, Some(&file(options, net, in_flight, me, self.peers)))?;
+        let planner =
+            Planner::start(program, &config, Some(&operators_file(options, net, in_flight, me, self.peers)))?;
         net.target(me, self.peers);
         self.planner = Some(planner);
         Ok(())
@@ -332,7 +333,7 @@
 
 impl Experiment<'_> {
     /// The limit for jobs in flight of the latest files.
-    fn whole(&self) -> u64 {
+    fn limit_in_flight(&self) -> u64 {
         self.limits_in_flight.borrow().last().map_or(self.options.in_flight, |(_, units)| *units)
     }
 
@@ -345,7 +346,7 @@
         let flight = jobs.values().filter_map(|a| in_flight(a)).collect();
         let first = |a: &Vec<Attempt>| a.first().filter(|a| a.class == "keyed").map(|a| a.from);
         let keyed = jobs.values().filter_map(first).filter(|at| (span.0..until).contains(at)).count();
-        let (whole, rate) = (self.whole() as f64, self.options.keyed.0);
+        let (whole, rate) = (self.limit_in_flight() as f64, self.options.keyed.0);
         (mean_at_once(&flight, span) / whole, keyed as f64 / over.as_secs_f64() / rate)
     }
 
@@ -395,7 +396,7 @@
                     waited += took;
                     continue;
                 }
-                self.act(&step.what, planner_slots, next, &mut deferred)?;
+                self.apply_step(&step.what, planner_slots, next, &mut deferred)?;
             } else if let Some(Reverse((_, what))) = deferred.pop() {
                 match what {
                     Deferred::Start(at)
@@ -411,7 +412,7 @@
                                 .map_err(|_| io::Error::other("the stopping thread panicked"))??;
                         }
                         self.controls[at].pause(false);
-                        let file = (self.net, self.whole());
+                        let file = (self.net, self.limit_in_flight());
                         planner_slots[at].start(self.program, self.options, file, self.addresses, at)?;
                     }
                     Deferred::Start(_) => {}
@@ -427,7 +428,7 @@
         Ok(waited + self.options.span)
     }
 
-    fn act(
+    fn apply_step(
         &self,
         what: &What,
         planner_slots: &mut [PlannerSlot],
@@ -476,7 +477,7 @@
                 self.limits_in_flight.borrow_mut().push((self.clock.at(Instant::now()), *units));
                 for (me, slot) in planner_slots.iter().enumerate() {
                     if let Some(planner) = &slot.planner {
-                        planner.reload(&file(self.options, self.net, *units, me, slot.peers))?;
+                        planner.reload(&operators_file(self.options, self.net, *units, me, slot.peers))?;
                     }
                 }
             }
--- a/lab/src/twin.rs
+++ b/lab/src/twin.rs
@@ -162,18 +162,19 @@
         };
         for at in 0..twin.options.planners {
             let after = twin.rng.gen_range(0..50 * MS);
-            twin.at(after, Event::Start(at as Member));
+            twin.schedule_event(after, Event::Start(at as Member));
         }
         for (at, step) in twin.options.schedule.0.clone().iter().enumerate() {
-            twin.at(step.at_ms * MS, Event::Step(at));
+            twin.schedule_event(step.at_ms * MS, Event::Step(at));
         }
         if twin.options.turn_ms > 0 {
-            twin.at(twin.options.turn_ms * MS, Event::ChangeDemand);
+            twin.schedule_event(twin.options.turn_ms * MS, Event::ChangeDemand);
         }
         twin
     }
 
-    fn at(&mut self, after: Micros, event: Event) {
+    /// Schedules an event `after` microseconds of true time from now.
+    fn schedule_event(&mut self, after: Micros, event: Event) {
         self.count += 1;
         self.events.push(Reverse((self.now + after, self.count, event)));
     }
@@ -189,6 +190,7 @@
         (u128::from(own) * 1_000_000).div_ceil(u128::from(self.planners[usize::from(of)].rate)) as Micros
     }
 
+    /// Sends messages, one datagram per receiver, through the simulated network.
     fn send(&mut self, from: Member, out: Vec<(Member, Word)>) {
         let incarnation = self.planners[usize::from(from)].incarnation;
         let mut by_member: BTreeMap<Member, Vec<Word>> = BTreeMap::new();
@@ -197,7 +199,7 @@
             self.messages += messages.len() as u64;
             self.datagrams += 1;
             for delay in self.weather.draw_delays(&mut self.rng, usize::from(from), usize::from(to)) {
-                self.at(
+                self.schedule_event(
                     delay.as_micros() as Micros,
                     Event::Messages(from, to, incarnation, messages.clone()),
                 );
@@ -206,7 +208,7 @@
     }
 
     /// Starts as many jobs as a planner's demand and budgets allow.
-    fn act(&mut self, of: Member) {
+    fn start_jobs(&mut self, of: Member) {
         let clock = self.clock(of);
         let planner = &mut self.planners[usize::from(of)];
         let Some(budgets) = planner.budgets.as_mut() else { return };
@@ -230,10 +232,11 @@
             // The job ends by itself before its deadline by the planner's clock.
             let lasting = self.rng.gen_range(5 * MS..JOB_TIMEOUT);
             let after = self.span(of, lasting);
-            self.at(after, Event::JobEnded(of, incarnation, job));
+            self.schedule_event(after, Event::JobEnded(of, incarnation, job));
         }
     }
 
+    /// Runs a planner's periodic work.
     fn tick(&mut self, of: Member) {
         let clock = self.clock(of);
         let mut out = Vec::new();
@@ -241,9 +244,10 @@
             budgets.tick(clock, &mut out);
         }
         self.send(of, out);
-        self.act(of);
+        self.start_jobs(of);
     }
 
+    /// The budgets as the operators' file sets them.
     fn wanted(&self) -> Vec<Wanted> {
         let one = |kind, whole, hold| Wanted { place: Arc::from(PLACE), kind, whole, hold };
         let mut all = vec![one(Kind::InFlight, self.options.whole, 0)];
@@ -254,7 +258,8 @@
         all
     }
 
-    fn end(&mut self, of: Member, again_ms: Option<u64>) {
+    /// Ends a planner's process, which ends its jobs, and schedules its restart.
+    fn stop_planner(&mut self, of: Member, again_ms: Option<u64>) {
         let planner = &mut self.planners[usize::from(of)];
         if planner.budgets.take().is_some() {
             // Its machines end its jobs when their connections break.
@@ -263,12 +268,13 @@
             planner.deferred.clear();
             planner.stopped = false;
             if let Some(ms) = again_ms {
-                self.at(ms * MS, Event::Start(of));
+                self.schedule_event(ms * MS, Event::Start(of));
             }
         }
     }
 
-    fn step(&mut self, event: Event) {
+    /// Handles one event at the current time.
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Messages(from, to, incarnation, ref messages) => {
                 let clock = self.clock(to);
@@ -283,13 +289,13 @@
                         .for_each(|message| budgets.hear(clock, (from, incarnation), *message, &mut out));
                 }
                 self.send(to, out);
-                self.act(to);
+                self.start_jobs(to);
             }
             Event::Tick(of) => {
                 if !self.planners[usize::from(of)].stopped {
                     self.tick(of);
                 }
-                self.at(self.options.terms.ask_every, event);
+                self.schedule_event(self.options.terms.ask_every, event);
             }
             Event::JobEnded(of, incarnation, job) => {
                 let clock = self.clock(of);
@@ -302,7 +308,7 @@
                         let stopped = planner.stopped;
                         if let Some(budgets) = planner.budgets.as_mut().filter(|_| !stopped) {
                             budgets.give_back(clock, share);
-                            self.act(of);
+                            self.start_jobs(of);
                         }
                     }
                 }
@@ -322,7 +328,7 @@
                 (planner.budgets, planner.incarnation, planner.ticks) = (Some(budgets), incarnation, true);
                 // Ticks continue across restarts, and are scheduled only at the first start.
                 if first {
-                    self.at(0, Event::Tick(of));
+                    self.schedule_event(0, Event::Tick(of));
                 }
             }
             Event::Resume(of, incarnation) => {
@@ -330,7 +336,7 @@
                 if planner.incarnation == incarnation && planner.stopped {
                     planner.stopped = false;
                     for deferred in std::mem::take(&mut planner.deferred) {
-                        self.step(deferred);
+                        self.handle_event(deferred);
                     }
                 }
             }
@@ -340,12 +346,12 @@
                     let of = self.rng.gen_range(0..n);
                     self.planners[of].demand = [0, 3, 50, 1_000_000][self.rng.gen_range(0..4)];
                 }
-                self.at(self.options.turn_ms * MS, event);
+                self.schedule_event(self.options.turn_ms * MS, event);
             }
             Event::Step(at) => {
                 let what = self.options.schedule.0[at].what.clone();
                 match what {
-                    What::Kill { planner, again_ms } => self.end(planner as Member, again_ms),
+                    What::Kill { planner, again_ms } => self.stop_planner(planner as Member, again_ms),
                     What::Term { planner, again_ms } => {
                         let of = planner as Member;
                         let clock = self.clock(of);
@@ -355,12 +361,12 @@
                             budgets.tick(clock, &mut out);
                         }
                         self.send(of, out);
-                        self.end(of, again_ms);
+                        self.stop_planner(of, again_ms);
                     }
                     What::Stop { planner, for_ms } => {
                         self.planners[planner].stopped = self.planners[planner].budgets.is_some();
                         let incarnation = self.planners[planner].incarnation;
-                        self.at(for_ms * MS, Event::Resume(planner as Member, incarnation));
+                        self.schedule_event(for_ms * MS, Event::Resume(planner as Member, incarnation));
                     }
                     What::Lean { planner, .. } => {
                         let lean = |(at, p): (usize, &mut Planner)| {
@@ -384,7 +390,7 @@
         while self.broken.is_none() && self.events.peek().is_some_and(|Reverse((at, ..))| *at <= end) {
             let Some(Reverse((at, number, event))) = self.events.pop() else { break };
             self.advance_to(at);
-            self.step(event);
+            self.handle_event(event);
             self.worst = self.worst.max(self.used);
             let (used, whole) = (self.used, self.options.whole);
             if used > whole {
@@ -468,7 +474,7 @@
     pub fn befall(&mut self, what: What) {
         let at = self.options.schedule.0.len();
         self.options.schedule = std::mem::take(&mut self.options.schedule).at(u64::MAX, what);
-        self.step(Event::Step(at));
+        self.handle_event(Event::Step(at));
     }
 }
 
@@ -526,6 +532,6 @@
 impl Twin {
     /// Starts a planner that is down.
     pub fn start(&mut self, planner: usize) {
-        self.at(0, Event::Start(planner as Member));
+        self.schedule_event(0, Event::Start(planner as Member));
     }
 }
