--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -271,7 +271,7 @@
             room: REQUEST_ROOM,
             patience: Duration::from_secs(3),
             ids_after,
-            hear_on: Duration::ZERO,
+            release_wait: Duration::ZERO,
         };
         let (tally, window) = self.during(|| load::run(&shape, self.planner.owners, None))?;
         Ok(LoadResult { rate, tally, window })
--- a/lab/src/capacity/planners.rs
+++ b/lab/src/capacity/planners.rs
@@ -7,7 +7,7 @@
 use super::record::Slope;
 use super::slopes::Options;
 use super::usage::Usage;
-use crate::net::{Net, Passed};
+use crate::net::{Net, Traffic};
 use crate::planner::{address, Planner};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
         let scene = BenchSetup { listed: planners, seed: SEED + own as u64, ..BenchSetup::of(MACHINES) };
         let file = operators(net, planners, own, peers);
         all.push(Planner::start(&options.program, &scene.configuration(hollow), Some(&file))?);
-        net.target(own, peers);
+        net.set_target(own, peers);
     }
     Ok(all)
 }
@@ -83,13 +83,13 @@
     let each = planners as f64;
     let processor: f64 =
         before.iter().zip(&after).map(|(b, a)| (a.processor.saturating_sub(b.processor)).as_secs_f64()).sum();
-    let sum = |of: &[Passed], what: fn(&Passed) -> u64| of.iter().map(what).sum::<u64>() as f64;
-    let growth_per_s = |what: fn(&Passed) -> u64| (sum(&sent_now, what) - sum(&sent, what)) / each / seconds;
+    let sum = |of: &[Traffic], what: fn(&Traffic) -> u64| of.iter().map(what).sum::<u64>() as f64;
+    let growth_per_s = |what: fn(&Traffic) -> u64| (sum(&sent_now, what) - sum(&sent, what)) / each / seconds;
     let machine_bytes = (counts_now.bytes_in + counts_now.bytes_out) - (counts.bytes_in + counts.bytes_out);
     Ok(RestUsage {
         share: processor / each / seconds,
         resident_kib: after.iter().map(|u| u.resident_kib as f64).sum::<f64>() / each,
-        datagrams: growth_per_s(|passed| passed.came),
+        datagrams: growth_per_s(|passed| passed.received),
         bytes: growth_per_s(|passed| passed.bytes),
         machine_bytes: machine_bytes as f64 / each / seconds,
     })
--- a/lab/src/commands/brownout.rs
+++ b/lab/src/commands/brownout.rs
@@ -1,7 +1,7 @@
 //! Compares a brown-out with and without a retry budget.
 
+use burlhook_lab::experiments::brownout;
 use burlhook_lab::planner::Program;
-use burlhook_lab::rigs::brownout;
 use clap::Args;
 use std::io;
 use std::path::PathBuf;
--- a/lab/src/commands/budgets.rs
+++ b/lab/src/commands/budgets.rs
@@ -1,9 +1,9 @@
 //! Checks budgets of the whole fleet under faults.
 
 use burlhook::document;
+use burlhook_lab::experiments::budgets;
 use burlhook_lab::net::Schedule;
 use burlhook_lab::planner::Program;
-use burlhook_lab::rigs::budgets;
 use clap::Args;
 use std::io;
 use std::path::PathBuf;
@@ -127,7 +127,7 @@
     for (end, count) in &report.ends {
         println!("  {end:?} {count}");
     }
-    println!("rejected with a retry time: {}; planners started: {}", report.told_when, report.starts);
+    println!("rejected with a retry time: {}; planners started: {}", report.with_retry_time, report.starts);
     println!(
         "max in flight {}; mean use: {:.3} of the limit in flight, {:.3} of the rate; worst window {:.1}",
         report.most_in_flight, report.used.0, report.used.1, report.window
--- a/lab/src/commands/fleet.rs
+++ b/lab/src/commands/fleet.rs
@@ -1,8 +1,8 @@
 //! Runs planners with more machines than descriptors, or with a shared fault.
 
+use burlhook_lab::experiments::fleet;
 use burlhook_lab::load::End;
 use burlhook_lab::planner::Program;
-use burlhook_lab::rigs::fleet;
 use clap::Args;
 use std::io;
 use std::path::PathBuf;
@@ -49,7 +49,7 @@
     println!("seed {seed}");
     let report = fleet::run(&Program::or_own(planner)?, &options)?;
     print_fleet(&report);
-    Ok(report.untold == 0 && report.count(End::Unanswered) == 0)
+    Ok(report.unreported == 0 && report.count(End::Unanswered) == 0)
 }
 
 fn print_fleet(report: &fleet::Report) {
@@ -60,10 +60,10 @@
         report.count(End::Placed),
         report.count(End::Unanswered)
     );
-    let late = [0.5, 0.99, 1.0].map(|share| report.late(share));
+    let late = [0.5, 0.99, 1.0].map(|share| report.report_delay_ms(share));
     println!(
         "task ends reported after p50 {} p99 {} max {} ms; unreported {}",
-        late[0], late[1], late[2], report.untold
+        late[0], late[1], late[2], report.unreported
     );
     let ticks: u64 = report.used.iter().map(|u| u.cpu_ticks).sum();
     let peak = report.used.iter().map(|u| u.peak_kib).max().unwrap_or_default();
--- a/lab/src/commands/groups.rs
+++ b/lab/src/commands/groups.rs
@@ -1,8 +1,8 @@
 //! Runs groups beside ordinary load.
 
+use burlhook_lab::experiments::groups;
 use burlhook_lab::load::End;
 use burlhook_lab::planner::Program;
-use burlhook_lab::rigs::groups;
 use clap::Args;
 use std::io;
 use std::path::PathBuf;
--- a/lab/src/commands/reload.rs
+++ b/lab/src/commands/reload.rs
@@ -1,8 +1,8 @@
 //! Reloads the operators' file under load.
 
+use burlhook_lab::experiments::reload;
 use burlhook_lab::load::End;
 use burlhook_lab::planner::Program;
-use burlhook_lab::rigs::reload;
 use clap::Args;
 use std::io;
 use std::path::PathBuf;
@@ -69,7 +69,7 @@
         "rejected ms: p50 {:.1} p99 {:.1}, with a retry time {}",
         ms(t, 0.5),
         ms(t, 0.99),
-        tally.told_when
+        tally.with_retry_time
     );
     println!("planner: peak {} KiB, cpu {:.2} s", used.peak_kib, used.cpu_ticks as f64 / 100.0);
     println!("reloads {reloads}, generation {}", in_force["generation"]);
--- a/lab/src/commands/twin.rs
+++ b/lab/src/commands/twin.rs
@@ -1,7 +1,7 @@
 //! The deterministic simulation of a fleet.
 
 use burlhook::decide::fleet::Terms;
-use burlhook_lab::twin;
+use burlhook_lab::simulation;
 use clap::Args;
 use std::io;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     }
     let mut passed = true;
     for seed in seed..seed + seeds {
-        let mut twin = twin::Twin::new(twin::rough(seed, planners, seconds));
+        let mut twin = simulation::Simulation::new(simulation::random_options(seed, planners, seconds));
         twin.run(Duration::from_secs(seconds));
         if let Some(broken) = &twin.broken {
             println!("seed {seed}: {broken}");
@@ -51,8 +51,8 @@
 
 fn print_handovers(planners: usize, lease_ms: u64, seeds: u64) {
     let lease = lease_ms * 1_000;
-    let terms = Terms { lease, ask_every: (lease / 60).clamp(20_000, 500_000), ..twin::TERMS };
-    let all = twin::handovers(planners, terms, seeds);
+    let terms = Terms { lease, ask_every: (lease / 60).clamp(20_000, 500_000), ..simulation::TERMS };
+    let all = simulation::handovers(planners, terms, seeds);
     let show = |name: &str, mut times: Vec<Option<u64>>| {
         times.sort_unstable_by_key(|t| t.unwrap_or(u64::MAX));
         let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
--- a/lab/src/rigs/brownout.rs
+++ b/lab/src/experiments/brownout.rs
@@ -81,7 +81,7 @@
     let planner = Planner::start(program, &config(&addresses, options.seed), Some(&file))?;
     let shape = Shape {
         ids_after: 0,
-        hear_on: Duration::ZERO,
+        release_wait: Duration::ZERO,
         rate: options.rate,
         span: normal + brownout + after,
         rest: 0.5,
--- a/lab/src/rigs/budgets.rs
+++ b/lab/src/experiments/budgets.rs
@@ -6,7 +6,7 @@
 use crate::audit::{attempts, Attempt, Verdict};
 use crate::judge::{mean_at_once, most_at_once, worst_window, Spans};
 use crate::load::{run_controlled, Asked, End, LoadControl, Shape};
-use crate::net::{Net, Passed, Schedule, What};
+use crate::net::{Fault, Net, Schedule, Traffic};
 use crate::node::{Act, Ledger, Node, Plan};
 use crate::planner::{address, config, Planner, Program};
 use crate::Clock;
@@ -108,7 +108,7 @@
     /// Number of requests by outcome.
     pub ends: BTreeMap<End, u64>,
     /// Number of rejected requests whose answer contains a retry time.
-    pub told_when: u64,
+    pub with_retry_time: u64,
     /// Highest number of concurrent jobs in flight, of the limited class.
     pub most_in_flight: usize,
     /// Mean use of the limit for jobs in flight and of the rate, as shares, from the first lease to the end
@@ -131,7 +131,7 @@
     pub fn json(&self) -> serde_json::Value {
         let ends: serde_json::Map<String, serde_json::Value> =
             self.ends.iter().map(|(end, count)| (format!("{end:?}"), json!(count))).collect();
-        json!({"broken": self.broken, "unused": self.unused, "ends": ends, "toldWhen": self.told_when,
+        json!({"broken": self.broken, "unused": self.unused, "ends": ends, "toldWhen": self.with_retry_time,
             "mostInFlight": self.most_in_flight, "usedInFlight": self.used.0, "usedRate": self.used.1, "worstWindow": self.window,
             "datagramsPerS": self.sent_per_s.0, "bytesPerS": self.sent_per_s.1,
             "cpuMsPerThousand": self.cpu_ms, "starts": self.starts})
@@ -200,7 +200,7 @@
         config["listen"] = json!(self.owners.to_string());
         let planner =
             Planner::start(program, &config, Some(&operators_file(options, net, in_flight, me, self.peers)))?;
-        net.target(me, self.peers);
+        net.set_target(me, self.peers);
         self.planner = Some(planner);
         Ok(())
     }
@@ -252,7 +252,7 @@
         room: (0.25, 0.5),
         patience: Duration::from_millis(1_500),
         ids_after: (at as u64 + 1) << 32,
-        hear_on: Duration::ZERO,
+        release_wait: Duration::ZERO,
     };
     let began = Instant::now();
     let mut starts = options.planners;
@@ -308,10 +308,10 @@
     let ms: u64 = used.iter().sum::<u64>() * 10;
     report.cpu_ms = ms as f64 * 1e3 / logs.len().max(1) as f64;
     let passed = net.counts();
-    let each = |of: fn(&Passed) -> u64| {
+    let each = |of: fn(&Traffic) -> u64| {
         passed.iter().map(of).sum::<u64>() as f64 / options.planners as f64 / span.as_secs_f64()
     };
-    report.sent_per_s = (each(|p| p.came), each(|p| p.bytes));
+    report.sent_per_s = (each(|p| p.received), each(|p| p.bytes));
     report.starts = starts;
     Ok(report)
 }
@@ -390,7 +390,7 @@
             }
             if step == Some(next) {
                 let Some(step) = steps.next() else { continue };
-                if let What::Used { share, over_ms } = step.what {
+                if let Fault::Used { share, over_ms } = step.what {
                     let took = self.wait_for_use(share, Duration::from_millis(over_ms));
                     self.waited.borrow_mut().push(took);
                     waited += took;
@@ -430,20 +430,20 @@
 
     fn apply_step(
         &self,
-        what: &What,
+        what: &Fault,
         planner_slots: &mut [PlannerSlot],
         now: Duration,
         deferred: &mut BinaryHeap<Reverse<(Duration, Deferred)>>,
     ) -> io::Result<()> {
         let after = |ms: u64| now + Duration::from_millis(ms);
         match what {
-            What::Weather { .. } | What::Part { .. } | What::Heal => self.net.apply(what),
-            What::Kill { planner, again_ms } => {
+            Fault::Weather { .. } | Fault::Part { .. } | Fault::Heal => self.net.apply(what),
+            Fault::Kill { planner, again_ms } => {
                 if planner_slots[*planner].planner.take().is_some() {
                     deferred.extend(again_ms.map(|ms| Reverse((after(ms), Deferred::Start(*planner)))));
                 }
             }
-            What::Term { planner, again_ms } => {
+            Fault::Term { planner, again_ms } => {
                 if let Some(stopping) = planner_slots[*planner].planner.take() {
                     // A suspended process would not handle SIGTERM.
                     let _ = stopping.signal("CONT");
@@ -456,24 +456,24 @@
                     deferred.extend(again_ms.map(|ms| Reverse((after(ms), Deferred::Start(*planner)))));
                 }
             }
-            What::Stop { planner, for_ms } => {
+            Fault::Stop { planner, for_ms } => {
                 if let Some(planner) = &planner_slots[*planner].planner {
                     planner.signal("STOP")?;
                 }
                 deferred.push(Reverse((after(*for_ms), Deferred::Continue(*planner))));
             }
-            What::Slow { node, for_ms } => {
+            Fault::Slow { node, for_ms } => {
                 self.nodes[*node].act(Act::Pause(Duration::from_millis(*for_ms)));
             }
-            What::Reset { node } => self.nodes[*node].act(Act::Reset),
-            What::Lean { planner, share } => {
+            Fault::Reset { node } => self.nodes[*node].act(Act::Reset),
+            Fault::Lean { planner, share } => {
                 let others = (self.options.planners - 1).max(1) as f64;
                 for (at, control) in self.controls.iter().enumerate() {
                     let part = if at == *planner { *share } else { (1.0 - share) / others };
                     control.set(self.options.rate * part);
                 }
             }
-            What::Whole { units } => {
+            Fault::Whole { units } => {
                 self.limits_in_flight.borrow_mut().push((self.clock.at(Instant::now()), *units));
                 for (me, slot) in planner_slots.iter().enumerate() {
                     if let Some(planner) = &slot.planner {
@@ -481,8 +481,8 @@
                     }
                 }
             }
-            What::Used { .. } => {}
-            What::Even => {
+            Fault::Used { .. } => {}
+            Fault::Even => {
                 self.controls
                     .iter()
                     .for_each(|control| control.set(self.options.rate / self.options.planners as f64));
@@ -593,7 +593,8 @@
     });
     let mut ends = BTreeMap::new();
     logs.iter().for_each(|a| *ends.entry(a.end).or_default() += 1);
-    let told_when = logs.iter().filter(|a| a.end == End::TurnedAway && a.told_when).count() as u64;
+    let with_retry_time =
+        logs.iter().filter(|a| a.end == End::TurnedAway && a.with_retry_time).count() as u64;
     let flight = flight.collect();
     let (sent_per_s, cpu_ms, starts, unused, waited) = ((0.0, 0.0), 0.0, 0, Vec::new(), Vec::new());
     Report {
@@ -601,7 +602,7 @@
         unused,
         waited,
         ends,
-        told_when,
+        with_retry_time,
         most_in_flight: most,
         used,
         window,
--- a/lab/src/rigs/fleet.rs
+++ b/lab/src/experiments/fleet.rs
@@ -60,10 +60,10 @@
     pub tallies: Vec<Tally>,
     /// Milliseconds from the end of each task at its machine to the release at its owner, ascending; only
     /// measured with one planner.
-    pub late_ms: Vec<u64>,
+    pub report_delays_ms: Vec<u64>,
     /// Task ends without a release by the end of the run; ends in its last 8 s, the protocol's limit, are not
     /// counted.
-    pub untold: usize,
+    pub unreported: usize,
     /// Highest number of file descriptors of any planner.
     pub descriptors: usize,
     /// Resources used by the planners.
@@ -77,9 +77,12 @@
 
 impl Report {
     /// Milliseconds within which this share of the task ends was reported.
-    pub fn late(&self, share: f64) -> u64 {
-        let at = (self.late_ms.len() as f64 * share) as usize;
-        self.late_ms.get(at.min(self.late_ms.len().saturating_sub(1))).copied().unwrap_or_default()
+    pub fn report_delay_ms(&self, share: f64) -> u64 {
+        let at = (self.report_delays_ms.len() as f64 * share) as usize;
+        self.report_delays_ms
+            .get(at.min(self.report_delays_ms.len().saturating_sub(1)))
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Number of requests with this outcome.
@@ -133,7 +136,7 @@
         room: (0.25, 0.5),
         patience: Duration::from_secs(3),
         ids_after: (at as u64 + 1) << 32,
-        hear_on: Duration::from_millis(options.life_ms.1) + Duration::from_secs(8),
+        release_wait: Duration::from_millis(options.life_ms.1) + Duration::from_secs(8),
     };
     let done = AtomicBool::new(false);
     let mut reset_at = None;
@@ -166,19 +169,19 @@
     let (tallies, used) = (tallies?, planners.iter().map(Planner::used).collect());
     let ended_by = clock.now().saturating_sub(Duration::from_secs(8));
     let ledgers: Vec<Ledger> = nodes.iter().map(|n| n.ledger()).collect();
-    let (mut late_ms, mut untold) = (Vec::new(), 0);
+    let (mut report_delays_ms, mut unreported) = (Vec::new(), 0);
     if options.planners == 1 {
         let released: BTreeMap<u64, Duration> =
             tallies.iter().flat_map(|t| &t.released).map(|&(id, at)| (id, clock.at(at))).collect();
         for ended in ledgers.iter().flat_map(|l| &l.entries).filter(|e| e.what == What::Ended) {
             match released.get(&ended.job) {
-                Some(&at) => late_ms.push(at.saturating_sub(ended.at).as_millis() as u64),
-                None => untold += usize::from(ended.at < ended_by),
+                Some(&at) => report_delays_ms.push(at.saturating_sub(ended.at).as_millis() as u64),
+                None => unreported += usize::from(ended.at < ended_by),
             }
         }
-        late_ms.sort_unstable();
+        report_delays_ms.sort_unstable();
     }
     let start = burst(&ledgers, from);
     let fault = reset_at.map(|at| burst(&ledgers, at)).unwrap_or_default();
-    Ok(Report { tallies, late_ms, untold, descriptors, used, start, fault })
+    Ok(Report { tallies, report_delays_ms, unreported, descriptors, used, start, fault })
 }
--- a/lab/src/rigs/groups.rs
+++ b/lab/src/experiments/groups.rs
@@ -230,7 +230,7 @@
     let ordinary = (options.load * (SLOTS * options.nodes) as f64 / 2.0).max(1.0);
     let shape = Shape {
         ids_after: 0,
-        hear_on: Duration::ZERO,
+        release_wait: Duration::ZERO,
         rate: ordinary,
         span: options.span,
         rest: 0.5,
--- a/lab/src/rigs/reload.rs
+++ b/lab/src/experiments/reload.rs
@@ -112,7 +112,7 @@
     let planner = Planner::start(program, &config(&addresses, seed), Some(&first))?;
     let shape = Shape {
         ids_after: 0,
-        hear_on: Duration::ZERO,
+        release_wait: Duration::ZERO,
         rate: options.rate,
         span: options.span,
         rest: 0.5,
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,17 +1,17 @@
 //! The laboratory: a stand-in node that speaks the platform's machine protocol and fails by script or at
 //! random, a ledger of the offers that it received, an auditor of ledgers, load generators for both fronts,
-//! and experiments (`rigs`) that combine them with a planner. Everything stays on loopback addresses, is
+//! and experiments (`experiments`) that combine them with a planner. Everything stays on loopback addresses, is
 //! bounded in count and time, and ends by itself.
 
 pub mod audit;
 pub mod capacity;
+pub mod experiments;
 pub mod judge;
 pub mod load;
 pub mod net;
 pub mod node;
 pub mod planner;
-pub mod rigs;
-pub mod twin;
+pub mod simulation;
 
 use std::time::{Duration, Instant};
 
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -52,7 +52,7 @@
     /// Job ids on the platform front start after this one; concurrent loads must not share ids.
     pub ids_after: u64,
     /// How long after the last answer releases of running tasks are still received.
-    pub hear_on: Duration,
+    pub release_wait: Duration,
 }
 
 /// The final outcome of a request.
@@ -80,7 +80,7 @@
     /// Number of second final answers, which no request may have.
     pub twice: u64,
     /// Number of rejected requests whose answer contains a retry time.
-    pub told_when: u64,
+    pub with_retry_time: u64,
     /// Releases of running tasks on the platform front: job id and time of arrival.
     pub released: Vec<(u64, Instant)>,
     /// Bytes sent to the platform front, and received from it.
@@ -100,7 +100,7 @@
             ends: BTreeMap::new(),
             asked: 0,
             twice: 0,
-            told_when: 0,
+            with_retry_time: 0,
             released: Vec::new(),
             bytes: (0, 0),
             placed_us: histogram(),
@@ -118,7 +118,7 @@
         self.asked - self.count(End::Unanswered)
     }
 
-    fn record(&mut self, end: End, took: Duration, told_when: bool) {
+    fn record(&mut self, end: End, took: Duration, with_retry_time: bool) {
         self.asked += 1;
         *self.ends.entry(end).or_default() += 1;
         let micros = (took.as_micros() as u64).clamp(1, MAX_RECORDED_US);
@@ -127,7 +127,7 @@
             End::TurnedAway => self.turned_us.saturating_record(micros),
             _ => {}
         }
-        self.told_when += u64::from(told_when && end == End::TurnedAway);
+        self.with_retry_time += u64::from(with_retry_time && end == End::TurnedAway);
     }
 }
 
@@ -178,8 +178,8 @@
                 tokio::spawn(async move {
                     let from = Instant::now();
                     let answer = tokio::time::timeout(patience, ask_by_rest(&client, rest, &request)).await;
-                    let (end, told_when) = answer.unwrap_or((End::Unanswered, false));
-                    with_tally(&tally, |t| t.record(end, from.elapsed(), told_when));
+                    let (end, with_retry_time) = answer.unwrap_or((End::Unanswered, false));
+                    with_tally(&tally, |t| t.record(end, from.elapsed(), with_retry_time));
                 })
             }
             None => {
@@ -188,8 +188,8 @@
                 tokio::spawn(async move {
                     let from = Instant::now();
                     let answer = tokio::time::timeout(patience, connection.request(id, &request)).await;
-                    let (end, told_when) = answer.unwrap_or((End::Unanswered, false));
-                    with_tally(&tally, |t| t.record(end, from.elapsed(), told_when));
+                    let (end, with_retry_time) = answer.unwrap_or((End::Unanswered, false));
+                    with_tally(&tally, |t| t.record(end, from.elapsed(), with_retry_time));
                 })
             }
         });
@@ -197,7 +197,7 @@
     for task in asked {
         let _ = task.await;
     }
-    tokio::time::sleep(shape.hear_on).await;
+    tokio::time::sleep(shape.release_wait).await;
     Ok(with_tally(&tally, |t| t.clone()))
 }
 
@@ -215,7 +215,7 @@
     /// The outcome.
     pub end: End,
     /// Whether the answer contains a retry time.
-    pub told_when: bool,
+    pub with_retry_time: bool,
 }
 
 /// Changes the rate of a load while it runs.
@@ -292,10 +292,10 @@
                 asked.push(tokio::spawn(async move {
                     let sent = Instant::now();
                     let answer = tokio::time::timeout(patience, connection.request(id, &request)).await;
-                    let (end, told_when) = answer.unwrap_or((End::Unanswered, false));
+                    let (end, with_retry_time) = answer.unwrap_or((End::Unanswered, false));
                     let answered = Instant::now();
                     let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-                    log.push(Asked { id, keyed, sent, answered, end, told_when });
+                    log.push(Asked { id, keyed, sent, answered, end, with_retry_time });
                 }));
             }
             asked.retain(|task| !task.is_finished());
@@ -351,7 +351,7 @@
         "memory": request.room.1, "deadlineMs": request.deadline.as_millis() as u64, "description": "POST /run"});
     let answer = call(client, "POST", to, "/v1/jobs", request.key.as_deref(), &body).await;
     let Some((status, answer)) = answer else { return (End::Unanswered, false) };
-    let told_when = answer["retryAfterMs"].as_u64().is_some_and(|ms| ms > 0);
+    let with_retry_time = answer["retryAfterMs"].as_u64().is_some_and(|ms| ms > 0);
     let limited = answer["type"].as_str().is_some_and(|t| t.ends_with(":limited"));
     let end = match status {
         // 409: the job was placed and has already ended when its status is read.
@@ -362,7 +362,7 @@
         502 => End::Failed,
         _ => End::Unanswered,
     };
-    (end, told_when)
+    (end, with_retry_time)
 }
 
 type Waiting = Arc<Mutex<BTreeMap<u64, oneshot::Sender<(End, bool)>>>>;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -3,8 +3,8 @@
 mod commands;
 
 use burlhook_lab::capacity;
+use burlhook_lab::experiments::demo;
 use burlhook_lab::planner::Program;
-use burlhook_lab::rigs::demo;
 use clap::{Parser, Subcommand};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
--- a/lab/src/net/mod.rs
+++ b/lab/src/net/mod.rs
@@ -3,7 +3,7 @@
 
 mod schedule;
 
-pub use schedule::{Schedule, Step, Weather, What};
+pub use schedule::{Fault, Schedule, Step, Weather};
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -18,9 +18,9 @@
 
 /// Traffic that one planner sent, counted by the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct Traffic {
     /// Datagrams received by the relay.
-    pub came: u64,
+    pub received: u64,
     /// Their bytes.
     pub bytes: u64,
     /// Copies that were forwarded.
@@ -33,7 +33,7 @@
     /// The address on which each planner listens.
     targets: Vec<Option<SocketAddr>>,
     /// Traffic by sending planner.
-    counts: Vec<Passed>,
+    counts: Vec<Traffic>,
 }
 
 /// A running relay. Dropping it ends it.
@@ -66,7 +66,7 @@
             .map(|row| row.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>())
             .collect::<io::Result<Vec<_>>>()?;
         let (weather, rng) = (Weather::without_faults(planners), Pcg64Mcg::seed_from_u64(seed));
-        let (targets, counts) = (vec![None; planners], vec![Passed::default(); planners]);
+        let (targets, counts) = (vec![None; planners], vec![Traffic::default(); planners]);
         let state = Arc::new(Mutex::new(State { weather, rng, targets, counts }));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let (end, ended) = oneshot::channel();
@@ -96,17 +96,17 @@
     }
 
     /// Sets the address on which a planner listens.
-    pub fn target(&self, planner: usize, address: SocketAddr) {
+    pub fn set_target(&self, planner: usize, address: SocketAddr) {
         lock(&self.state).targets[planner] = Some(address);
     }
 
     /// Applies a scheduled change to the traffic between planners; other faults are ignored.
-    pub fn apply(&self, what: &What) {
+    pub fn apply(&self, what: &Fault) {
         lock(&self.state).weather.apply(what);
     }
 
     /// Traffic of each planner so far.
-    pub fn counts(&self) -> Vec<Passed> {
+    pub fn counts(&self) -> Vec<Traffic> {
         lock(&self.state).counts.clone()
     }
 }
@@ -137,7 +137,7 @@
                 continue;
             }
             let delays = weather.draw_delays(rng, from, to);
-            counts[from].came += 1;
+            counts[from].received += 1;
             counts[from].bytes += length as u64;
             counts[from].forwarded += delays.len() as u64;
             (targets[to], delays)
--- a/lab/src/net/schedule.rs
+++ b/lab/src/net/schedule.rs
@@ -11,7 +11,7 @@
 
 /// A fault or other change of conditions.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum Fault {
     /// Sets the conditions for datagrams between planners: the shares that are lost and duplicated, and the
     /// range of the delay, which is drawn for each copy, so that datagrams are also reordered.
     Weather {
@@ -95,7 +95,7 @@
     /// Milliseconds from the start.
     pub at_ms: u64,
     /// The fault or change.
-    pub what: What,
+    pub what: Fault,
 }
 
 /// Steps in the order of their times.
@@ -104,7 +104,7 @@
 
 impl Schedule {
     /// Adds a step after all steps of the same or an earlier time.
-    pub fn at(mut self, at_ms: u64, what: What) -> Schedule {
+    pub fn at(mut self, at_ms: u64, what: Fault) -> Schedule {
         let place = self.0.partition_point(|s| s.at_ms <= at_ms);
         self.0.insert(place, Step { at_ms, what });
         self
@@ -143,48 +143,49 @@
         while at < calm {
             let planner = rng.gen_range(0..planners);
             let what = match rng.gen_range(0..13) {
-                0 => What::Weather { loss: 0.3, double: 0.2, delay_ms: (0, 40) },
-                1 => What::Weather { loss: 0.05, double: 0.3, delay_ms: (0, 2_000) },
-                2 => What::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 2) },
+                0 => Fault::Weather { loss: 0.3, double: 0.2, delay_ms: (0, 40) },
+                1 => Fault::Weather { loss: 0.05, double: 0.3, delay_ms: (0, 2_000) },
+                2 => Fault::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 2) },
                 3 | 4 => {
                     let mut groups = vec![Vec::new(); rng.gen_range(2..=3)];
                     for planner in 0..planners {
                         let of = rng.gen_range(0..groups.len());
                         groups[of].push(planner);
                     }
-                    What::Part { groups, one_way: rng.gen_bool(0.3) }
+                    Fault::Part { groups, one_way: rng.gen_bool(0.3) }
                 }
-                5 => What::Heal,
-                6 | 7 => What::Kill { planner, again_ms: Some(rng.gen_range(200..2_500)) },
+                5 => Fault::Heal,
+                6 | 7 => Fault::Kill { planner, again_ms: Some(rng.gen_range(200..2_500)) },
                 12 => {
                     // Kills all planners at the same time.
                     for planner in 1..planners {
                         let again_ms = Some(rng.gen_range(100..600));
-                        schedule = schedule.at(at, What::Kill { planner, again_ms });
+                        schedule = schedule.at(at, Fault::Kill { planner, again_ms });
                     }
-                    What::Kill { planner: 0, again_ms: Some(300) }
+                    Fault::Kill { planner: 0, again_ms: Some(300) }
                 }
-                8 => What::Term { planner, again_ms: Some(rng.gen_range(200..1_500)) },
-                9 => What::Stop {
+                8 => Fault::Term { planner, again_ms: Some(rng.gen_range(200..1_500)) },
+                9 => Fault::Stop {
                     planner,
                     for_ms: *[300, 2_000, 10_000].get(rng.gen_range(0..3)).unwrap_or(&300),
                 },
                 10 => match rng.gen_bool(0.7) {
-                    true => {
-                        What::Slow { node: rng.gen_range(0..nodes.max(1)), for_ms: rng.gen_range(100..1_500) }
-                    }
-                    false => What::Reset { node: rng.gen_range(0..nodes.max(1)) },
+                    true => Fault::Slow {
+                        node: rng.gen_range(0..nodes.max(1)),
+                        for_ms: rng.gen_range(100..1_500),
+                    },
+                    false => Fault::Reset { node: rng.gen_range(0..nodes.max(1)) },
                 },
                 _ => match rng.gen_bool(0.6) {
-                    true => What::Lean { planner, share: 0.8 },
-                    false => What::Even,
+                    true => Fault::Lean { planner, share: 0.8 },
+                    false => Fault::Even,
                 },
             };
             schedule = schedule.at(at, what);
             at += rng.gen_range(200..1_600);
         }
-        let without_faults = What::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 0) };
-        schedule.at(calm, What::Heal).at(calm, without_faults).at(calm, What::Even)
+        let without_faults = Fault::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 0) };
+        schedule.at(calm, Fault::Heal).at(calm, without_faults).at(calm, Fault::Even)
     }
 }
 
@@ -202,7 +203,7 @@
             let delay = section.get("delayMs").map_or(Some((0.0, 0.0)), |i| i.span_of(MAX_TIME_MS as f64));
             let (least, most) = delay?;
             let (loss, double) = (share("loss")?, share("double")?);
-            What::Weather { loss, double, delay_ms: (least as u64, most as u64) }
+            Fault::Weather { loss, double, delay_ms: (least as u64, most as u64) }
         }
         "part" => {
             let groups = section.need("groups").and_then(|i| i.list())?;
@@ -210,18 +211,18 @@
                 item.list()?.iter().map(|i| index(i, planners)).collect()
             };
             let groups = groups.iter().map(group).collect::<Option<Vec<_>>>()?;
-            What::Part { groups, one_way: section.get("oneWay").map_or(Some(false), |i| i.flag())? }
+            Fault::Part { groups, one_way: section.get("oneWay").map_or(Some(false), |i| i.flag())? }
         }
-        "heal" => What::Heal,
-        "kill" => What::Kill { planner: planner()?, again_ms: again()? },
-        "term" => What::Term { planner: planner()?, again_ms: again()? },
-        "stop" => What::Stop { planner: planner()?, for_ms: millis("forMs")? },
-        "slow" => What::Slow { node: node()?, for_ms: millis("forMs")? },
-        "reset" => What::Reset { node: node()? },
-        "lean" => What::Lean { planner: planner()?, share: share("share")? },
-        "even" => What::Even,
-        "whole" => What::Whole { units: section.need("units").and_then(|i| i.count(1..=1_000_000))? },
-        "used" => What::Used { share: share("share")?, over_ms: millis("overMs")? },
+        "heal" => Fault::Heal,
+        "kill" => Fault::Kill { planner: planner()?, again_ms: again()? },
+        "term" => Fault::Term { planner: planner()?, again_ms: again()? },
+        "stop" => Fault::Stop { planner: planner()?, for_ms: millis("forMs")? },
+        "slow" => Fault::Slow { node: node()?, for_ms: millis("forMs")? },
+        "reset" => Fault::Reset { node: node()? },
+        "lean" => Fault::Lean { planner: planner()?, share: share("share")? },
+        "even" => Fault::Even,
+        "whole" => Fault::Whole { units: section.need("units").and_then(|i| i.count(1..=1_000_000))? },
+        "used" => Fault::Used { share: share("share")?, over_ms: millis("overMs")? },
         other => {
             let known = [
                 "weather", "part", "heal", "kill", "term", "stop", "slow", "reset", "lean", "even", "whole",
@@ -256,12 +257,12 @@
     }
 
     /// Applies a scheduled change to these conditions; other faults are ignored.
-    pub fn apply(&mut self, what: &What) {
+    pub fn apply(&mut self, what: &Fault) {
         match what {
-            What::Weather { loss, double, delay_ms } => {
+            Fault::Weather { loss, double, delay_ms } => {
                 (self.loss, self.double, self.delay_ms) = (*loss, *double, *delay_ms);
             }
-            What::Part { groups, one_way } => {
+            Fault::Part { groups, one_way } => {
                 self.group.iter_mut().for_each(|of| *of = 0);
                 for (number, group) in (1..).zip(groups) {
                     for &planner in group {
@@ -272,7 +273,7 @@
                 }
                 self.one_way = *one_way;
             }
-            What::Heal => {
+            Fault::Heal => {
                 self.group.iter_mut().for_each(|of| *of = 0);
                 self.one_way = false;
             }
--- a/lab/src/planner.rs
+++ b/lab/src/planner.rs
@@ -14,7 +14,7 @@
     /// Path of the program.
     pub path: PathBuf,
     /// Arguments before `--config`, such as the subcommand `serve`.
-    pub words: Vec<String>,
+    pub arguments: Vec<String>,
     /// The flag that takes the path of the operators' file.
     pub operators_flag: String,
 }
@@ -23,9 +23,9 @@
     /// The same command with a limit on file descriptors, set by `ulimit`.
     pub fn with_descriptor_limit(&self, descriptors: u32) -> Program {
         let path = self.path.to_string_lossy().into_owned();
-        let mut words = vec!["-c".into(), format!("ulimit -n {descriptors}; exec \"$0\" \"$@\""), path];
-        words.extend(self.words.iter().cloned());
-        Program { path: "/bin/sh".into(), words, operators_flag: self.operators_flag.clone() }
+        let mut arguments = vec!["-c".into(), format!("ulimit -n {descriptors}; exec \"$0\" \"$@\""), path];
+        arguments.extend(self.arguments.iter().cloned());
+        Program { path: "/bin/sh".into(), arguments, operators_flag: self.operators_flag.clone() }
     }
 
     /// The program at this path, or else the planner that is built into the running program.
@@ -35,14 +35,16 @@
     pub fn or_own(path: Option<PathBuf>) -> io::Result<Program> {
         match path {
             Some(path) => Ok(Program::at(path)),
-            None => Ok(Program { words: vec!["planner".into()], ..Program::at(std::env::current_exe()?) }),
+            None => {
+                Ok(Program { arguments: vec!["planner".into()], ..Program::at(std::env::current_exe()?) })
+            }
         }
     }
 
     /// The planner's program at this path.
     pub fn at(path: impl AsRef<Path>) -> Program {
         let (path, operators_flag) = (path.as_ref().to_path_buf(), "--operators".into());
-        Program { path, words: vec!["serve".into()], operators_flag }
+        Program { path, arguments: vec!["serve".into()], operators_flag }
     }
 }
 
@@ -134,7 +136,12 @@
         let path = temporary_file("config.json");
         std::fs::write(&path, config.to_string())?;
         let mut command = Command::new(&program.path);
-        command.args(&program.words).arg("--config").arg(&path).stderr(Stdio::piped()).stdin(Stdio::null());
+        command
+            .args(&program.arguments)
+            .arg("--config")
+            .arg(&path)
+            .stderr(Stdio::piped())
+            .stdin(Stdio::null());
         let file = operators.map(|text| (temporary_file("operators"), text));
         if let Some((file, text)) = &file {
             std::fs::write(file, text)?;
--- a/lab/src/twin.rs
+++ b/lab/src/simulation.rs
@@ -5,7 +5,7 @@
 //! believe they may use, with the budget. The units in use are counted by the simulation itself; a planner's
 //! own figure enters only the second check, where it can only make the sum larger.
 
-use crate::net::{Schedule, Weather, What};
+use crate::net::{Fault, Schedule, Weather};
 use burlhook::decide::budgets::{BudgetLedger, BudgetSpec, Kind, PeerMessage, Plan, Use};
 use burlhook::decide::fleet::{Incarnation, Member, Micros, Terms};
 use rand::{Rng, SeedableRng};
@@ -44,7 +44,7 @@
     /// Units that each planner could use at the start, by its index.
     pub demand: Vec<u64>,
     /// Interval in milliseconds at which half of the planners change their demand; never if 0.
-    pub turn_ms: u64,
+    pub demand_change_ms: u64,
     /// Seed of the random generator.
     pub seed: u64,
 }
@@ -61,7 +61,7 @@
             schedule: Schedule::default(),
             delay_ms: (1, 5),
             demand: (0..planners).map(demand).collect(),
-            turn_ms: 0,
+            demand_change_ms: 0,
             seed: 7,
         }
     }
@@ -75,21 +75,21 @@
 /// A simulated event.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Messages(Member, Member, Life, Vec<Word>),
+    Messages(Member, Member, Incarnation, Vec<PeerMessage>),
     Tick(Member),
-    JobEnded(Member, Life, u64),
+    JobEnded(Member, Incarnation, u64),
     Step(usize),
     Start(Member),
-    Resume(Member, Life),
+    Resume(Member, Incarnation),
     ChangeDemand,
 }
 
 struct Planner {
-    budgets: Option<Books>,
+    budgets: Option<BudgetLedger>,
     /// The planner's own clock: microseconds per true second, and its value at the start.
     rate: u64,
     clock_offset: Micros,
-    incarnation: Life,
+    incarnation: Incarnation,
     demand: u64,
     /// Jobs in flight, and the budget units of each.
     uses: BTreeMap<u64, Use>,
@@ -99,7 +99,7 @@
 }
 
 /// A simulated fleet.
-pub struct Twin {
+pub struct Simulation {
     /// Microseconds of true time since the start.
     pub now: Micros,
     rng: Pcg64Mcg,
@@ -122,9 +122,9 @@
     pub broken: Option<String>,
 }
 
-impl Twin {
+impl Simulation {
     /// A fleet whose planners all start within 50 ms.
-    pub fn new(options: Options) -> Twin {
+    pub fn new(options: Options) -> Simulation {
         let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
         let off = options.terms.rate_error_ppm;
         let planner = |at: usize| Planner {
@@ -142,7 +142,7 @@
         let mut weather = Weather::without_faults(options.planners);
         weather.delay_ms = options.delay_ms;
         let taken = vec![Vec::new(); options.planners];
-        let mut twin = Twin {
+        let mut twin = Simulation {
             now: 0,
             rng,
             weather,
@@ -167,8 +167,8 @@
         for (at, step) in twin.options.schedule.0.clone().iter().enumerate() {
             twin.schedule_event(step.at_ms * MS, Event::Step(at));
         }
-        if twin.options.turn_ms > 0 {
-            twin.schedule_event(twin.options.turn_ms * MS, Event::ChangeDemand);
+        if twin.options.demand_change_ms > 0 {
+            twin.schedule_event(twin.options.demand_change_ms * MS, Event::ChangeDemand);
         }
         twin
     }
@@ -191,9 +191,9 @@
     }
 
     /// Sends messages, one datagram per receiver, through the simulated network.
-    fn send(&mut self, from: Member, out: Vec<(Member, Word)>) {
+    fn send(&mut self, from: Member, out: Vec<(Member, PeerMessage)>) {
         let incarnation = self.planners[usize::from(from)].incarnation;
-        let mut by_member: BTreeMap<Member, Vec<Word>> = BTreeMap::new();
+        let mut by_member: BTreeMap<Member, Vec<PeerMessage>> = BTreeMap::new();
         out.into_iter().for_each(|(to, message)| by_member.entry(to).or_default().push(message));
         for (to, messages) in by_member {
             self.messages += messages.len() as u64;
@@ -248,8 +248,8 @@
     }
 
     /// The budgets as the operators' file sets them.
-    fn wanted(&self) -> Vec<Wanted> {
-        let one = |kind, whole, hold| Wanted { place: Arc::from(PLACE), kind, whole, hold };
+    fn wanted(&self) -> Vec<BudgetSpec> {
+        let one = |kind, whole, hold| BudgetSpec { place: Arc::from(PLACE), kind, total: whole, hold };
         let mut all = vec![one(Kind::InFlight, self.options.whole, 0)];
         let (units, hold) = self.options.rate;
         if units > 0 {
@@ -319,7 +319,7 @@
                 let members = self.options.planners as Member;
                 let voters = (0..self.options.voters as Member).collect();
                 let plan = Plan { place: (of, members), voters, terms: self.options.terms };
-                let mut budgets = Books::new(&plan, incarnation, clock);
+                let mut budgets = BudgetLedger::new(&plan, incarnation, clock);
                 budgets.set(clock, self.wanted());
                 let planner = &mut self.planners[usize::from(of)];
                 if planner.budgets.is_some() {
@@ -346,13 +346,13 @@
                     let of = self.rng.gen_range(0..n);
                     self.planners[of].demand = [0, 3, 50, 1_000_000][self.rng.gen_range(0..4)];
                 }
-                self.schedule_event(self.options.turn_ms * MS, event);
+                self.schedule_event(self.options.demand_change_ms * MS, event);
             }
             Event::Step(at) => {
                 let what = self.options.schedule.0[at].what.clone();
                 match what {
-                    What::Kill { planner, again_ms } => self.stop_planner(planner as Member, again_ms),
-                    What::Term { planner, again_ms } => {
+                    Fault::Kill { planner, again_ms } => self.stop_planner(planner as Member, again_ms),
+                    Fault::Term { planner, again_ms } => {
                         let of = planner as Member;
                         let clock = self.clock(of);
                         let mut out = Vec::new();
@@ -363,19 +363,19 @@
                         self.send(of, out);
                         self.stop_planner(of, again_ms);
                     }
-                    What::Stop { planner, for_ms } => {
+                    Fault::Stop { planner, for_ms } => {
                         self.planners[planner].stopped = self.planners[planner].budgets.is_some();
                         let incarnation = self.planners[planner].incarnation;
                         self.schedule_event(for_ms * MS, Event::Resume(planner as Member, incarnation));
                     }
-                    What::Lean { planner, .. } => {
+                    Fault::Lean { planner, .. } => {
                         let lean = |(at, p): (usize, &mut Planner)| {
                             p.demand = if at == planner { 1_000_000 } else { 0 }
                         };
                         self.planners.iter_mut().enumerate().for_each(lean);
                     }
-                    What::Even => self.planners.iter_mut().for_each(|p| p.demand = 1_000_000),
-                    What::Slow { .. } | What::Reset { .. } | What::Whole { .. } | What::Used { .. } => {}
+                    Fault::Even => self.planners.iter_mut().for_each(|p| p.demand = 1_000_000),
+                    Fault::Slow { .. } | Fault::Reset { .. } | Fault::Whole { .. } | Fault::Used { .. } => {}
                     other => self.weather.apply(&other),
                 }
             }
@@ -461,17 +461,17 @@
     }
 
     /// Messages and datagrams that were sent since the measurement began.
-    pub fn said(&self) -> (u64, u64) {
+    pub fn sent(&self) -> (u64, u64) {
         (self.messages, self.datagrams)
     }
 
     /// Sets a planner's demand in units.
-    pub fn want(&mut self, planner: usize, units: u64) {
+    pub fn set_demand(&mut self, planner: usize, units: u64) {
         self.planners[planner].demand = units;
     }
 
     /// Applies one fault now.
-    pub fn befall(&mut self, what: What) {
+    pub fn apply_fault(&mut self, what: Fault) {
         let at = self.options.schedule.0.len();
         self.options.schedule = std::mem::take(&mut self.options.schedule).at(u64::MAX, what);
         self.handle_event(Event::Step(at));
@@ -479,7 +479,7 @@
 }
 
 /// A fleet under drawn faults: its size, budgets, terms, demand and faults come from the seed.
-pub fn rough(seed: u64, planners: Option<usize>, seconds: u64) -> Options {
+pub fn random_options(seed: u64, planners: Option<usize>, seconds: u64) -> Options {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let planners = planners.unwrap_or_else(|| rng.gen_range(2..=9));
     let whole = rng.gen_range(1..=5 * planners as u64);
@@ -490,14 +490,14 @@
     options.terms.floor_permille = [0, 300, 500, 1000][rng.gen_range(0..4)];
     options.rate = (rng.gen_range(1..=20), 700_000);
     options.schedule = Schedule::drawn(seed, planners, 1, Duration::from_secs(seconds));
-    options.turn_ms = 1_000;
+    options.demand_change_ms = 1_000;
     options.seed = seed;
     options
 }
 
 /// Milliseconds until a condition holds, checked every 20 ms; `None` if it does not hold within `limit_s`
 /// seconds.
-fn until(twin: &mut Twin, limit_s: u64, is: impl Fn(&Twin) -> bool) -> Option<u64> {
+fn until(twin: &mut Simulation, limit_s: u64, is: impl Fn(&Simulation) -> bool) -> Option<u64> {
     let step = Duration::from_millis(20);
     (0..limit_s * 50)
         .find(|_| {
@@ -514,14 +514,14 @@
         let whole = 50 * planners as u64;
         let mut options = Options::calm(planners, whole, |_| 1_000);
         (options.seed, options.terms) = (seed, terms);
-        let mut twin = Twin::new(options);
+        let mut twin = Simulation::new(options);
         twin.run(Duration::from_micros(4 * terms.lease));
         let killed = (seed % planners as u64) as usize;
         let idle = 50 * terms.floor_permille / 1_000;
-        twin.befall(What::Kill { planner: killed, again_ms: None });
+        twin.apply_fault(Fault::Kill { planner: killed, again_ms: None });
         let full = (whole - idle) * 98 / 100;
         let used = until(&mut twin, 60, |t| t.in_use() >= full);
-        twin.befall(What::Even);
+        twin.apply_fault(Fault::Even);
         twin.start(killed);
         let restored = until(&mut twin, 60, |t| t.in_use_by()[killed] >= 40);
         (used, restored)
@@ -529,7 +529,7 @@
     (0..seeds).map(each).collect()
 }
 
-impl Twin {
+impl Simulation {
     /// Starts a planner that is down.
     pub fn start(&mut self, planner: usize) {
         self.schedule_event(0, Event::Start(planner as Member));
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -12,7 +12,7 @@
 
 fn options() -> Options {
     let lab_program = env!("CARGO_BIN_EXE_burlhook-lab");
-    let program = Program { words: vec!["planner".into()], ..Program::at(lab_program) };
+    let program = Program { arguments: vec!["planner".into()], ..Program::at(lab_program) };
     let run = Run { date: String::new(), commit: String::new(), machine: String::new(), short: true };
     Options { short: true, repeats: 1, program, lab_program: lab_program.into(), run }
 }
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -1,15 +1,15 @@
 //! Fleet-wide budgets with real planner processes behind a network simulator that injects faults. The checks
 //! rest on the machines' ledgers and the clients' logs alone, not on what planners report about themselves.
 
+use burlhook_lab::experiments::budgets::{run, Options, Report, Way};
 use burlhook_lab::load::End;
-use burlhook_lab::net::{Schedule, What};
+use burlhook_lab::net::{Fault, Schedule};
 use burlhook_lab::planner::{address, config, Planner, Program};
-use burlhook_lab::rigs::budgets::{run, Options, Report, Way};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
 fn run_rig(options: Options) -> Report {
-    run(&Program::at(env!("CARGO_BIN_EXE_burlhook")), &options).expect("the rig runs")
+    run(&Program::at(env!("CARGO_BIN_EXE_burlhook")), &options).expect("the experiment runs")
 }
 
 fn quick() -> Options {
@@ -31,26 +31,26 @@
 /// rejected client is given a time for its retry.
 #[test]
 fn no_fault_lets_the_fleet_exceed_its_budgets() {
-    let kill = |planner, again_ms| What::Kill { planner, again_ms: Some(again_ms) };
-    let part = |groups: &[&[usize]], one_way| What::Part {
+    let kill = |planner, again_ms| Fault::Kill { planner, again_ms: Some(again_ms) };
+    let part = |groups: &[&[usize]], one_way| Fault::Part {
         groups: groups.iter().map(|g| g.to_vec()).collect(),
         one_way,
     };
     let schedule = Schedule::default()
         .at(3_500, part(&[&[0, 1], &[2, 3, 4]], false))
-        .at(4_000, What::Lean { planner: 1, share: 0.8 })
-        .at(5_000, What::Slow { node: 0, for_ms: 700 })
-        .at(6_000, What::Weather { loss: 0.3, double: 0.2, delay_ms: (0, 1_500) })
-        .at(6_100, What::Heal)
+        .at(4_000, Fault::Lean { planner: 1, share: 0.8 })
+        .at(5_000, Fault::Slow { node: 0, for_ms: 700 })
+        .at(6_000, Fault::Weather { loss: 0.3, double: 0.2, delay_ms: (0, 1_500) })
+        .at(6_100, Fault::Heal)
         .at(6_500, kill(1, 400))
         .at(7_500, kill(1, 400))
-        .at(8_000, What::Stop { planner: 2, for_ms: 3_000 })
+        .at(8_000, Fault::Stop { planner: 2, for_ms: 3_000 })
         .at(8_500, part(&[&[0], &[1, 2, 3, 4]], true))
-        .at(9_000, What::Reset { node: 1 })
-        .at(10_000, What::Heal)
-        .at(10_500, What::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 2) })
-        .at(11_000, What::Even)
-        .at(11_500, What::Term { planner: 3, again_ms: Some(300) });
+        .at(9_000, Fault::Reset { node: 1 })
+        .at(10_000, Fault::Heal)
+        .at(10_500, Fault::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 2) })
+        .at(11_000, Fault::Even)
+        .at(11_500, Fault::Term { planner: 3, again_ms: Some(300) });
     let report = run_rig(Options { span: Duration::from_secs(16), schedule, seed: 3, ..quick() });
     assert_eq!(report.broken, Vec::<String>::new(), "{report:?}");
     assert_eq!(report.starts, 8, "three planners restarted");
@@ -62,9 +62,9 @@
     );
     let rejected = report.ends.get(&End::TurnedAway).copied().unwrap_or_default();
     assert!(
-        rejected > 500 && report.told_when == rejected,
+        rejected > 500 && report.with_retry_time == rejected,
         "{rejected} rejected, {} of them with a retry time",
-        report.told_when
+        report.with_retry_time
     );
 }
 
@@ -73,14 +73,14 @@
 /// used before it is lowered and again after it is raised, however long that takes on a busy host.
 #[test]
 fn a_lowered_budget_holds_under_load() {
-    let used = |over_ms| What::Used { share: 0.5, over_ms };
+    let used = |over_ms| Fault::Used { share: 0.5, over_ms };
     let mut schedule = Schedule::default()
         .at(3_500, used(1_000))
-        .at(3_500, What::Whole { units: 4 })
-        .at(9_500, What::Whole { units: 20 })
+        .at(3_500, Fault::Whole { units: 4 })
+        .at(9_500, Fault::Whole { units: 20 })
         .at(12_900, used(1_400));
     for planner in 0..5 {
-        schedule = schedule.at(7_000, What::Kill { planner, again_ms: Some(200 + 50 * planner as u64) });
+        schedule = schedule.at(7_000, Fault::Kill { planner, again_ms: Some(200 + 50 * planner as u64) });
     }
     let report = run_rig(Options { span: Duration::from_secs(13), schedule, seed: 5, ..quick() });
     assert_eq!(report.broken, Vec::<String>::new());
@@ -148,9 +148,9 @@
 /// whole budget for itself, the checker reports both budgets as exceeded.
 #[test]
 fn shares_follow_need_and_the_checker_sees_violations() {
-    let used = |share, over_ms| What::Used { share, over_ms };
+    let used = |share, over_ms| Fault::Used { share, over_ms };
     // An equal share would be a fifth.
-    let lean = Schedule::default().at(0, What::Lean { planner: 4, share: 1.0 }).at(9_000, used(0.5, 5_500));
+    let lean = Schedule::default().at(0, Fault::Lean { planner: 4, share: 1.0 }).at(9_000, used(0.5, 5_500));
     let options = Options { span: Duration::from_millis(9_100), schedule: lean, rate: 300.0, ..quick() };
     let report = run_rig(options.clone());
     assert_eq!(report.broken, Vec::<String>::new());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Planner processes with stand-in machines: more machines than descriptors, and faults that all planners see
 //! together.
 
+use burlhook_lab::experiments::fleet::{run, Options};
 use burlhook_lab::load::End;
 use burlhook_lab::planner::Program;
-use burlhook_lab::rigs::fleet::{run, Options};
 use std::time::Duration;
 
 fn program() -> Program {
@@ -20,8 +20,12 @@
     let report = run(&program(), &options).expect("it runs");
     let asked: u64 = report.tallies.iter().map(|t| t.asked).sum();
     assert_eq!((asked, report.count(End::Placed)), (300, 300), "each is placed");
-    assert_eq!((report.late_ms.len(), report.untold), (300, 0), "each end is reported exactly once");
-    assert!(report.late(1.0) < 8_000, "the last after {} ms", report.late(1.0));
+    assert_eq!(
+        (report.report_delays_ms.len(), report.unreported),
+        (300, 0),
+        "each end is reported exactly once"
+    );
+    assert!(report.report_delay_ms(1.0) < 8_000, "the last after {} ms", report.report_delay_ms(1.0));
     // Owners and the program itself hold some 25 descriptors. More in use shows that connections to machines
     // were replaced in turn.
     assert!((30..64).contains(&report.descriptors), "{} descriptors", report.descriptors);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,8 +1,8 @@
 //! Reloads under load, against stand-in nodes that refuse, stall and reset.
 
+use burlhook_lab::experiments::reload::{run, Options};
 use burlhook_lab::load::End;
 use burlhook_lab::planner::Program;
-use burlhook_lab::rigs::reload::{run, Options};
 use std::time::Duration;
 
 /// Guards tasks across reloads: 400 requests a second through both fronts, and a reload every 100 ms with
@@ -23,9 +23,9 @@
     // A client that a limit rejects is given a retry time, at once.
     let rejected = tally.count(End::TurnedAway);
     assert!(
-        rejected > 0 && tally.told_when == rejected,
+        rejected > 0 && tally.with_retry_time == rejected,
         "{rejected} rejected, {} of them with a retry time",
-        tally.told_when
+        tally.with_retry_time
     );
     assert!(report.reloads > 20, "{} reloads", report.reloads);
     let generation = report.in_force["generation"].as_u64().expect("a number");
--- a/tests/twin.rs
+++ b/tests/twin.rs
@@ -1,8 +1,8 @@
 //! Fleet-wide budgets in simulation: the program's own lease code on one simulated clock, under random
 //! faults.
 
-use burlhook_lab::net::What;
-use burlhook_lab::twin::{rough, Options, Twin, TERMS};
+use burlhook_lab::net::Fault;
+use burlhook_lab::simulation::{random_options, Options, Simulation, TERMS};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -14,7 +14,7 @@
 fn no_fault_makes_the_fleet_exceed_its_budget() {
     let mut worst = 0;
     for seed in 0..60 {
-        let mut twin = Twin::new(rough(seed, None, 25));
+        let mut twin = Simulation::new(random_options(seed, None, 25));
         twin.run(SECOND * 25);
         assert_eq!(twin.broken, None, "seed {seed}");
         worst = worst.max(twin.worst);
@@ -27,15 +27,15 @@
 #[test]
 fn everyone_has_a_share_once_faults_are_over() {
     for seed in 0..20 {
-        let mut options = rough(seed, None, 15);
+        let mut options = random_options(seed, None, 15);
         options.whole = options.whole.max(2 * options.planners as u64);
-        options.turn_ms = 0;
+        options.demand_change_ms = 0;
         let planners = options.planners;
-        let mut twin = Twin::new(options);
+        let mut twin = Simulation::new(options);
         twin.run(SECOND * 15);
         for planner in 0..planners {
-            twin.befall(What::Kill { planner, again_ms: Some(100) });
-            twin.want(planner, 1_000);
+            twin.apply_fault(Fault::Kill { planner, again_ms: Some(100) });
+            twin.set_demand(planner, 1_000);
         }
         twin.run(SECOND * 12);
         assert_eq!(twin.broken, None, "seed {seed}");
@@ -48,7 +48,7 @@
 #[test]
 fn the_budget_is_used_by_those_who_need_it() {
     let used = |options: Options| {
-        let mut twin = Twin::new(options);
+        let mut twin = Simulation::new(options);
         twin.run(SECOND * 6);
         twin.measure();
         twin.run(SECOND * 40);
@@ -59,7 +59,7 @@
     let one = used(Options::calm(8, 400, |at| if at == 3 { 1_000 } else { 0 }));
     let mut dying = Options::calm(8, 400, |_| 1_000);
     for at in 1..9 {
-        let what = What::Kill { planner: at as usize * 3 % 8, again_ms: Some(500) };
+        let what = Fault::Kill { planner: at as usize * 3 % 8, again_ms: Some(500) };
         dying.schedule = dying.schedule.at(at * 5_000, what);
     }
     let killed = used(dying);
@@ -72,22 +72,22 @@
 /// and give it back when it returns.
 #[test]
 fn a_gone_planners_share_is_used_elsewhere_and_given_back() {
-    let mut twin = Twin::new(Options::calm(8, 400, |_| 1_000));
+    let mut twin = Simulation::new(Options::calm(8, 400, |_| 1_000));
     twin.run(SECOND * 8);
     assert!(twin.in_use() >= 390, "{}", twin.in_use());
-    twin.befall(What::Kill { planner: 5, again_ms: None });
+    twin.apply_fault(Fault::Kill { planner: 5, again_ms: None });
     twin.run(SECOND / 2);
     assert!(twin.in_use() <= 352, "its fifty units are idle at first: {}", twin.in_use());
     twin.run(SECOND * 8);
     // Its floor of 25 stays idle.
     assert!(twin.in_use() >= 365, "the share of its slot is in use again: {}", twin.in_use());
     // A planner that exits on SIGTERM releases its share at once.
-    let mut twin = Twin::new(Options::calm(8, 400, |at| if at == 5 { 0 } else { 1_000 }));
+    let mut twin = Simulation::new(Options::calm(8, 400, |at| if at == 5 { 0 } else { 1_000 }));
     twin.run(SECOND * 8);
-    twin.befall(What::Term { planner: 5, again_ms: Some(6_000) });
+    twin.apply_fault(Fault::Term { planner: 5, again_ms: Some(6_000) });
     twin.run(SECOND * 5);
     assert!(twin.in_use() >= 365, "{}", twin.in_use());
-    twin.want(5, 1_000);
+    twin.set_demand(5, 1_000);
     twin.run(SECOND * 8);
     assert!(twin.in_use_by()[5] >= 40, "it has its own share again: {:?}", twin.in_use_by());
     assert_eq!(twin.broken, None);
@@ -97,11 +97,11 @@
 /// and spare units are shared in turn.
 #[test]
 fn absurd_need_takes_no_other_planners_base_share() {
-    let mut twin = Twin::new(Options::calm(8, 80, |at| if at == 0 { u64::MAX / 4 } else { 0 }));
+    let mut twin = Simulation::new(Options::calm(8, 80, |at| if at == 0 { u64::MAX / 4 } else { 0 }));
     twin.run(SECOND * 10);
     assert!(twin.in_use_by()[0] > 60, "it has what no other planner needs: {:?}", twin.in_use_by());
-    twin.want(5, 100);
-    twin.want(6, 100);
+    twin.set_demand(5, 100);
+    twin.set_demand(6, 100);
     twin.run(Duration::from_micros(2 * TERMS.lease) + SECOND);
     let used = twin.in_use_by();
     assert!(used[5] >= 8 && used[6] >= 8, "their base share is back within two lease times: {used:?}");
@@ -116,11 +116,11 @@
 /// Guards the largest fleets: the traffic between planners stays bounded, and the budget is not exceeded.
 #[test]
 fn traffic_is_bounded_at_350_planners() {
-    let mut twin = Twin::new(Options::calm(350, 3_500, |at| if at % 10 == 0 { 60 } else { 2 }));
+    let mut twin = Simulation::new(Options::calm(350, 3_500, |at| if at % 10 == 0 { 60 } else { 2 }));
     twin.run(SECOND * 5);
     twin.measure();
     twin.run(SECOND * 4);
-    let (messages, datagrams) = twin.said();
+    let (messages, datagrams) = twin.sent();
     let each = |n: u64| n as f64 / 350.0 / 4.0;
     println!(
         "{:.1} messages, {:.1} datagrams per second and planner; share used {:.3}",
