--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -11,7 +11,7 @@
 #[test]
 fn every_task_is_accounted_for_over_reloads() {
     let options = Options { span: Duration::from_secs(6), seed: 7, ..Options::default() };
-    let report = run(&Program::at(env!("CARGO_BIN_EXE_burlhook")), &options).expect("the rig runs");
+    let report = run(&Program::at(env!("CARGO_BIN_EXE_burlhook")), &options).expect("the experiment runs");
     let tally = &report.tally;
     assert_eq!((tally.asked, tally.answered(), tally.twice), (2400, 2400, 0), "{:?}", tally.ends);
     assert_eq!(report.verdict.broken, Vec::<String>::new());
