--- a/lab/src/capacity/missing.rs
+++ b/lab/src/capacity/missing.rs
@@ -28,7 +28,7 @@
         name: "A planner serves a bounded part of the machines",
         onset: Onset::Rows(&["rest-processor", "rest-memory", "rest-bytes", "state-machines"]),
         today: "every planner keeps a connection and a record for each machine of the list, and a pick looks at all of them \
-                (`state/machine_table`, `wire/platform/boxes`, `placer/rules`)",
+                (`state/machine_table`, `wire/platform/machine_links`, `placer/rules`)",
         remedy: "`docs/design/subsets.md`",
     },
     MissingMechanism {
@@ -51,7 +51,7 @@
         name: "The silence of a machine that holds tasks, noticed without a dial a second",
         onset: Onset::Rows(&["rest-tasks-processor"]),
         today: "each machine that holds tasks and has said nothing for a second is dialled beside its connection, so that the \
-                cost goes with the machines that hold tasks and not with the tasks (`decide/silence`, `wire/platform/boxes`)",
+                cost goes with the machines that hold tasks and not with the tasks (`decide/silence`, `wire/platform/machine_links`)",
         remedy: "a slope against machines that hold tasks, then fewer dials: one of the planners that hold tasks at a machine \
                 dials for all, or the time between dials grows with how many machines a planner watches, as far as the 8 s \
                 in which an end is to be told allow",
--- a/lab/src/capacity/rows/events.rs
+++ b/lab/src/capacity/rows/events.rs
@@ -71,7 +71,7 @@
         reading: reading("restart-machines", "from start to ready", 1e-3, "s"),
         size: MACHINES,
         bound: Some(Bound { limit: assumed::READY_S, set_by: "standing test" }),
-        module: "`life/mod`, `wire/platform/lists`",
+        module: "`life/mod`, `wire/platform/machine_list`",
     },
     Row {
         id: "planner-lost-reached",
@@ -82,7 +82,7 @@
         reading: reading("restart-machines", "from start to all machines reached", 1e-3, "s"),
         size: MACHINES,
         bound: None,
-        module: "`wire/platform/boxes`",
+        module: "`wire/platform/machine_links`",
     },
     Row {
         id: "planner-lost-handed",
@@ -131,6 +131,6 @@
         reading: reading("restart-hollow", "processor time of a restart", 1.0, "ms"),
         size: MACHINES,
         bound: None,
-        module: "`state/machines`, `wire/platform/lists`",
+        module: "`state/machines`, `wire/platform/machine_list`",
     },
 ];
--- a/lab/src/capacity/rows/fleet.rs
+++ b/lab/src/capacity/rows/fleet.rs
@@ -154,7 +154,7 @@
         reading: reading("list-machines", "bytes of a whole list", 1.0, "bytes"),
         size: MACHINES,
         bound: Some(Bound { limit: program::LIST_LINE_BYTES, set_by: "program" }),
-        module: "`wire/platform/board`, `wire/platform/lists`",
+        module: "`wire/platform/board`, `wire/platform/machine_list`",
     },
     Row {
         id: "list-whole-processor",
@@ -165,7 +165,7 @@
         reading: reading("list-machines", "processor time of a whole list", 1.0, "ms"),
         size: MACHINES,
         bound: Some(Bound { limit: targets::DRAIN_MS, set_by: "rules: drains" }),
-        module: "`wire/platform/lists`, `state/machines`",
+        module: "`wire/platform/machine_list`, `state/machines`",
     },
     Row {
         id: "list-bytes",
@@ -181,7 +181,7 @@
         ),
         size: MACHINES,
         bound: Some(BYTES),
-        module: "`wire/platform/lists`",
+        module: "`wire/platform/machine_list`",
     },
     Row {
         id: "list-processor",
@@ -213,7 +213,7 @@
         ),
         size: MACHINES,
         bound: Some(BYTES),
-        module: "`wire/platform/lists`",
+        module: "`wire/platform/machine_list`",
     },
     Row {
         id: "machine-state",
--- a/lab/src/capacity/rows/planner.rs
+++ b/lab/src/capacity/rows/planner.rs
@@ -18,7 +18,7 @@
         reading: reading("rest-machines", "processor time at rest", PERCENT, "% of a core"),
         size: MACHINES,
         bound: Some(PROCESSOR),
-        module: "`wire/platform/boxes`, `state/alarms`",
+        module: "`wire/platform/machine_links`, `state/alarms`",
     },
     Row {
         id: "rest-memory",
@@ -40,7 +40,7 @@
         reading: sum_of("rest-machines", ["bytes in at rest", "bytes out at rest"], "bytes/s"),
         size: MACHINES,
         bound: Some(BYTES),
-        module: "`wire/platform/boxes`",
+        module: "`wire/platform/machine_links`",
     },
     Row {
         id: "rest-today",
@@ -51,7 +51,7 @@
         reading: reading("rest-machines-1024", "processor time at rest", PERCENT, "% of a core"),
         size: MACHINES,
         bound: Some(PROCESSOR),
-        module: "`decide/links`, `wire/platform/boxes`",
+        module: "`decide/links`, `wire/platform/machine_links`",
     },
     Row {
         id: "state-machines",
