--- a/src/bin/burlhook-adapter/main.rs
+++ b/src/bin/burlhook-adapter/main.rs
@@ -1,4 +1,5 @@
-//! Hosts placers behind the simulator's wire: one JSON batch in, one JSON reply out.
+//! Runs placers for the simulator: reads one batch of events per line of JSON, and writes one reply per
+//! batch.
 
 mod wire;
 
@@ -9,10 +10,10 @@
 use std::process::ExitCode;
 use wire::{Arrival, Batch, Node, Out, Reply};
 
-/// One hosted placer with the words of its own life.
+/// A hosted placer with the vocabulary of its settings.
 struct Instance {
     placer: Placer,
-    words: Vocabulary,
+    vocabulary: Vocabulary,
 }
 
 #[derive(Default)]
@@ -49,6 +50,7 @@
     Ok(())
 }
 
+/// Names the batch that could not be parsed, or else the last one that could, in front of the error.
 fn describe(line: &str, last_turn: Option<u64>, error: &serde_json::Error) -> String {
     let turn = serde_json::from_str::<serde_json::Value>(line).ok().and_then(|v| v.get("turn")?.as_u64());
     match (turn, last_turn) {
@@ -63,22 +65,22 @@
         let now = batch.at_time_s;
         let mut replies = Vec::new();
         for (at, arrival) in batch.arrivals.into_iter().enumerate() {
-            self.take(now, arrival, &mut replies).map_err(|e| format!("arrival {at}: {e}"))?;
+            self.apply(now, arrival, &mut replies).map_err(|e| format!("arrival {at}: {e}"))?;
         }
         Ok(replies)
     }
 
-    fn take(&mut self, now: f64, arrival: Arrival, replies: &mut Vec<Out>) -> Result<(), String> {
+    fn apply(&mut self, now: f64, arrival: Arrival, replies: &mut Vec<Out>) -> Result<(), String> {
         let who = match arrival {
             Arrival::DefineList { reference, nodes_list } => {
                 self.lists.insert(reference, nodes_list);
                 return Ok(());
             }
             Arrival::OpenInstance { who, nonce64, boot_info } => {
-                let (settings, words) =
+                let (settings, vocabulary) =
                     vocabulary::settings(&boot_info).map_err(|e| format!("boot_info: {e}"))?;
                 let placer = Placer::new(settings, nonce64).map_err(|e| format!("boot_info: {e}"))?;
-                self.instances.insert(who, Instance { placer, words });
+                self.instances.insert(who, Instance { placer, vocabulary });
                 return Ok(());
             }
             Arrival::PowerOff { who } => {
@@ -88,10 +90,10 @@
             ref other => other.who(),
         };
         let instance = self.instances.get_mut(&who).ok_or_else(|| format!("field who: no instance {who}"))?;
-        let Some(event) = translate(arrival, &self.lists, &mut instance.words)? else { return Ok(()) };
+        let Some(event) = translate(arrival, &self.lists, &mut instance.vocabulary)? else { return Ok(()) };
         let mut actions = Vec::new();
         instance.placer.handle(now, event, &mut actions);
-        replies.extend(actions.into_iter().map(|action| utter(who, action, &instance.words)));
+        replies.extend(actions.into_iter().map(|action| to_reply(who, action, &instance.vocabulary)));
         Ok(())
     }
 }
@@ -99,7 +101,7 @@
 fn translate(
     arrival: Arrival,
     lists: &BTreeMap<u64, Vec<Node>>,
-    words: &mut Vocabulary,
+    vocabulary: &mut Vocabulary,
 ) -> Result<Option<Event>, String> {
     Ok(Some(match arrival {
         Arrival::Fleet { mode, reference, .. } => {
@@ -109,17 +111,17 @@
             } else {
                 let reference = reference.ok_or("missing field `ref`")?;
                 let nodes = lists.get(&reference).ok_or_else(|| format!("field ref: no list {reference}"))?;
-                nodes.iter().map(|node| wire::entry(words, node)).collect::<Result<_, _>>()?
+                nodes.iter().map(|node| wire::entry(vocabulary, node)).collect::<Result<_, _>>()?
             };
             Event::List { kind, entries }
         }
         Arrival::Submit { call, asked, .. } => {
-            Event::Submitted { request: RequestId(call), task: wire::task(words, &asked)? }
+            Event::Submitted { request: RequestId(call), task: wire::task(vocabulary, &asked)? }
         }
         Arrival::Resident { call, machine, asked, .. } => Event::Resident {
             request: RequestId(call),
-            task: wire::task(words, &asked)?,
-            machine: words.machine(&machine),
+            task: wire::task(vocabulary, &asked)?,
+            machine: vocabulary.machine(&machine),
         },
         Arrival::CancelledByClient { call, .. } => Event::Withdrawn { request: RequestId(call) },
         Arrival::Seated { call, hop, rtt_s, .. } => {
@@ -132,16 +134,16 @@
             reason: wire::reason(info),
             finished,
             last: false,
-            report: feedback.map(|values| words.report(&values)),
+            report: feedback.map(|values| vocabulary.report(&values)),
         }),
         Arrival::Signal { call, hop, what, amount, .. } => match wire::note(what, amount) {
             Some(note) => Event::Noted { request: RequestId(call), attempt: hop, note },
             None => return Ok(None),
         },
         Arrival::Health { code, machine, feedback, .. } => Event::Probed {
-            machine: words.machine(&machine),
+            machine: vocabulary.machine(&machine),
             outcome: wire::outcome(code)?,
-            report: feedback.map(|values| words.report(&values)),
+            report: feedback.map(|values| vocabulary.report(&values)),
         },
         Arrival::Reminder { .. } => Event::Timer,
         Arrival::Memo { .. } => return Ok(None),
@@ -151,8 +153,8 @@
     }))
 }
 
-fn utter(who: u64, action: Action, words: &Vocabulary) -> Out {
-    let name = |machine: MachineId| words.name(machine);
+fn to_reply(who: u64, action: Action, vocabulary: &Vocabulary) -> Out {
+    let name = |machine: MachineId| vocabulary.name(machine);
     match action {
         Action::Bind { request, machine, give_up_at } => {
             Out::Try { who, call: request.0, machine: name(machine), cut_at_s: give_up_at }
--- a/src/bin/burlhook-adapter/wire.rs
+++ b/src/bin/burlhook-adapter/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's words and their translation; no decisions.
+//! The messages of the simulator's protocol, and their conversion to the placer's types.
 
 use burlhook::vocabulary::{key, Vocabulary};
 use burlhook::*;
@@ -12,9 +12,9 @@
     pub arrivals: Vec<Arrival>,
 }
 
-/// What an owner asks for.
+/// A task as an owner submits it.
 #[derive(Deserialize)]
-pub struct Asked {
+pub struct TaskSpec {
     qos: String,
     #[serde(default)]
     party: Option<Value>,
@@ -65,7 +65,7 @@
         who: u64,
         call: u64,
         #[serde(flatten)]
-        asked: Asked,
+        asked: TaskSpec,
     },
     #[serde(rename = "CANCELLED_BY_CLIENT")]
     CancelledByClient { who: u64, call: u64 },
@@ -114,12 +114,12 @@
         call: u64,
         machine: String,
         #[serde(flatten)]
-        asked: Asked,
+        asked: TaskSpec,
     },
 }
 
 impl Arrival {
-    /// The instance it is for.
+    /// The instance that it is for; for a list definition, the list.
     pub fn who(&self) -> u64 {
         match *self {
             Arrival::OpenInstance { who, .. }
@@ -170,13 +170,13 @@
     Emit { who: u64, words: String },
 }
 
-/// The task that an owner asks for.
-pub fn task(words: &Vocabulary, asked: &Asked) -> Result<Task, String> {
-    let class = words.class(&asked.qos);
+/// Converts an owner's task.
+pub fn task(vocabulary: &Vocabulary, asked: &TaskSpec) -> Result<Task, String> {
+    let class = vocabulary.class(&asked.qos);
     let tenant = asked.party.as_ref().and_then(Value::as_str);
     Ok(Task {
         class: class.ok_or_else(|| format!("field qos: no class {:?}", asked.qos))?,
-        tenant: tenant.and_then(|name| words.tenant(name)),
+        tenant: tenant.and_then(|name| vocabulary.tenant(name)),
         service: ServiceId(asked.program),
         room: Room { cores: asked.cpu, memory: asked.ram_units },
         deadline: asked.expires_s,
@@ -185,14 +185,14 @@
     })
 }
 
-/// A list entry.
-pub fn entry(words: &mut Vocabulary, node: &Node) -> Result<Entry, String> {
+/// Converts an entry of a machine list.
+pub fn entry(vocabulary: &mut Vocabulary, node: &Node) -> Result<Entry, String> {
     Ok(Entry {
-        machine: words.machine(&node.machine),
+        machine: vocabulary.machine(&node.machine),
         key: key(&node.machine),
-        zone: words.zone(&node.campus),
+        zone: vocabulary.zone(&node.campus),
         cell: CellId(node.block),
-        kind: words.kind(&node.class_of_host),
+        kind: vocabulary.kind(&node.class_of_host),
         standing: match node.lifecycle.as_str() {
             "ready" => Standing::Ready,
             "draining" => Standing::Draining,
--- a/src/document/fault.rs
+++ b/src/document/fault.rs
@@ -1,21 +1,21 @@
-//! Faults of a file: where, at which path, what, and by which rule.
+//! Faults of a file: position, path in the document, message, and the rule that is broken.
 
 use std::fmt;
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Count. Faults of one file that are kept; a file with more has one cause.
-const MOST_FAULTS: usize = 1000;
+/// Count. The most faults of a file that are kept; where there are more, they usually have one common cause.
+const MAX_FAULTS: usize = 1000;
 
-/// A text and the name of the file that it came from.
+/// A text and the name of its file.
 #[derive(Clone, Debug)]
 pub struct Text(Arc<(String, String)>);
 
 impl Text {
-    /// A text under a name.
+    /// A text with the name of its file.
     pub fn new(name: impl Into<String>, text: impl Into<String>) -> Text {
         let text: String = text.into();
-        // The mark that some editors put first is no part of the text.
+        // Some editors write a byte order mark first, which is not part of the text.
         let text = text.strip_prefix('\u{feff}').map(str::to_string).unwrap_or(text);
         Text(Arc::new((name.into(), text)))
     }
@@ -30,7 +30,7 @@
         &self.0 .1
     }
 
-    /// Line and column, both from 1, of a byte.
+    /// Line and column of the byte at an offset.
     pub fn place(&self, at: usize) -> Place {
         let before = self.text().get(..at).unwrap_or(self.text());
         let line = before.matches('\n').count() + 1;
@@ -39,36 +39,36 @@
     }
 }
 
-/// A place in a text.
+/// A position in a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// From 1.
+    /// The line, from 1.
     pub line: usize,
-    /// Characters, from 1.
+    /// The column in characters, from 1.
     pub column: usize,
 }
 
 /// One thing that is wrong with a file.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    /// Bytes of the text that it is about.
+    /// The range of bytes of the text that is at fault.
     pub span: Range<usize>,
-    /// Where in the document, such as `limits.routes[2].attempts`; empty for the whole.
+    /// The path in the document, such as `limits.routes[2].attempts`; empty for the whole document.
     pub path: String,
-    /// What is wrong.
+    /// The message.
     pub what: String,
-    /// The rule that would be broken.
+    /// The rule that the value would break, if any.
     pub rule: Option<String>,
 }
 
 impl Fault {
-    /// A fault that breaks no rule but that of the file's form.
+    /// A fault without a rule, such as an error of the syntax or the type.
     pub fn new(span: Range<usize>, path: &str, what: String) -> Fault {
         Fault { span, path: path.to_string(), what, rule: None }
     }
 }
 
-/// All that is wrong with a file, in the order of the text.
+/// All faults of a file, in the order of the text.
 #[derive(Clone, Debug)]
 pub struct Faults {
     text: Text,
@@ -77,25 +77,25 @@
 }
 
 impl Faults {
-    /// The faults of a text.
+    /// Collects the faults of a text.
     pub fn new(text: &Text, mut faults: Vec<Fault>) -> Faults {
         faults.sort_by_key(|f| f.span.start);
-        faults.truncate(MOST_FAULTS);
+        faults.truncate(MAX_FAULTS);
         Faults { text: text.clone(), faults, whole_file: false }
     }
 
-    /// A fault that has no place in the text.
+    /// A single fault of a file as a whole, without a position.
     pub fn of_file(name: &str, what: String) -> Faults {
         let fault = Fault::new(0..0, "", what);
         Faults { text: Text::new(name, ""), faults: vec![fault], whole_file: true }
     }
 
-    /// How many there are.
+    /// The number of faults.
     pub fn count(&self) -> usize {
         self.faults.len()
     }
 
-    /// One line for each: file, line, column, path, what, rule.
+    /// One line for each fault: file, line, column, path, message, rule.
     pub fn lines(&self) -> Vec<String> {
         self.faults.iter().map(|fault| self.line(fault)).collect()
     }
@@ -116,8 +116,8 @@
         line
     }
 
-    /// Every fault with the line of the text that it is about and a mark below it.
-    pub fn drawn(&self) -> String {
+    /// All faults, each with its line of the text and a mark below the range that is at fault.
+    pub fn annotated(&self) -> String {
         use ariadne::{CharSet, Config, IndexType, Label, Report, ReportKind, Source};
         let config = Config::default()
             .with_color(false)
@@ -138,7 +138,7 @@
                 .with_message(&fault.what)
                 .with_label(Label::new(span).with_message(fault.rule.as_deref().unwrap_or("here")))
                 .finish();
-            // Writing into memory fails only where the text is not what the spans were taken from.
+            // Writing to memory fails only if the spans do not belong to this text.
             let _ = report.write((name, Source::from(self.text.text())), &mut out);
         }
         String::from_utf8_lossy(&out).into_owned()
@@ -147,7 +147,7 @@
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Some(first) = self.faults.first() else { return write!(f, "{}: no fault", self.text.name()) };
+        let Some(first) = self.faults.first() else { return write!(f, "{}: no faults", self.text.name()) };
         write!(f, "{}", self.line(first))?;
         match self.faults.len() - 1 {
             0 => Ok(()),
--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -1,7 +1,9 @@
-//! A JSON5 text as a tree in which every value knows its place, and typed readers that gather all faults of a file
-//! instead of stopping at the first. The sections of the operators' file are read with it by their owners.
+//! Parses JSON5 to a tree in which every value has its position, with typed readers that collect all faults
+//! of a file instead of stopping at the first. The subsystems read their sections of the operators' file with
+//! it.
 //!
-//! Syntax is `jsonc-parser`'s: JSON5 with comments, trailing commas, unquoted names, single quotes, hex numbers.
+//! The syntax is that of `jsonc-parser`: JSON5 with comments, trailing commas, unquoted names, single quotes,
+//! hex numbers.
 
 mod fault;
 mod read;
@@ -16,15 +18,15 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// Bytes that an operators' file may have: 10,000 routes with room to spare.
-pub const MOST_BYTES: u64 = 4 * 1024 * 1024;
+/// Bytes. The largest operators' file: 10,000 routes fit with a margin.
+pub const MAX_BYTES: u64 = 4 * 1024 * 1024;
 
-/// A value and the bytes that it takes in its text.
+/// A value and its range in the text.
 #[derive(Clone, Debug)]
 pub struct Value {
-    /// Bytes of the text.
+    /// The range of bytes in the text.
     pub span: Range<usize>,
-    /// What it is.
+    /// The value by its kind.
     pub kind: Kind,
 }
 
@@ -33,9 +35,9 @@
 pub enum Kind {
     /// `null`.
     Null,
-    /// A truth value.
+    /// A boolean.
     Flag(bool),
-    /// A number; infinite where it is too large for the format, or written so.
+    /// A number; infinite if it is written as infinity or is too large for the format.
     Number(f64),
     /// A string.
     Text(String),
@@ -45,10 +47,10 @@
     Table(Vec<Member>),
 }
 
-/// A name of an object and its value.
+/// A member of an object: name and value.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Bytes of the name.
+    /// The range of the name in bytes of the text.
     pub span: Range<usize>,
     /// The name.
     pub name: String,
@@ -57,8 +59,8 @@
 }
 
 impl Kind {
-    /// What it is, in a word.
-    pub fn word(&self) -> &'static str {
+    /// The name of the kind, for messages.
+    pub fn kind_name(&self) -> &'static str {
         match self {
             Kind::Null => "null",
             Kind::Flag(_) => "true or false",
@@ -70,62 +72,69 @@
     }
 }
 
-/// Reads a file of at most [`MOST_BYTES`].
+/// Reads a file of at most [`MAX_BYTES`].
 ///
 /// # Errors
-/// One fault, at the first byte that is at fault where there is one: it cannot be read, is no plain file, is too
-/// large, or is not UTF-8.
+/// A single fault: the file cannot be read, is not a regular file, is too large, or is not UTF-8. The last
+/// has the position of the first invalid byte.
 pub fn load(path: &Path) -> Result<Text, Faults> {
     let name = path.display().to_string();
-    let whole = |what: String| Faults::of_file(&name, what);
-    let file = std::fs::File::open(path).map_err(|e| whole(format!("cannot be read: {e}")))?;
-    let kind = file.metadata().map_err(|e| whole(format!("cannot be read: {e}")))?;
+    let file_fault = |what: String| Faults::of_file(&name, what);
+    let file = std::fs::File::open(path).map_err(|e| file_fault(format!("cannot be read: {e}")))?;
+    let kind = file.metadata().map_err(|e| file_fault(format!("cannot be read: {e}")))?;
     if !kind.is_file() {
-        return Err(whole(if kind.is_dir() { "is a folder" } else { "is no plain file" }.into()));
+        return Err(file_fault(if kind.is_dir() { "is a folder" } else { "is not a regular file" }.into()));
     }
     let mut bytes = Vec::new();
-    let read = file.take(MOST_BYTES + 1).read_to_end(&mut bytes);
-    read.map_err(|e| whole(format!("cannot be read: {e}")))?;
-    if bytes.len() as u64 > MOST_BYTES {
-        return Err(whole(format!("is larger than {MOST_BYTES} bytes")));
+    let read = file.take(MAX_BYTES + 1).read_to_end(&mut bytes);
+    read.map_err(|e| file_fault(format!("cannot be read: {e}")))?;
+    if bytes.len() as u64 > MAX_BYTES {
+        return Err(file_fault(format!("is larger than {MAX_BYTES} bytes")));
     }
     match String::from_utf8(bytes) {
         Ok(text) => Ok(Text::new(name, text)),
         Err(error) => {
-            let good = error.utf8_error().valid_up_to();
-            let text = String::from_utf8_lossy(&error.into_bytes()[..good]).into_owned();
-            let fault = Fault::new(good..good, "", "is not UTF-8 from here on".into());
+            let valid = error.utf8_error().valid_up_to();
+            let text = String::from_utf8_lossy(&error.into_bytes()[..valid]).into_owned();
+            let fault = Fault::new(valid..valid, "", "is not UTF-8 from here on".into());
             Err(Faults::new(&Text::new(name, text), vec![fault]))
         }
     }
 }
 
-/// Parses a text into its tree.
+/// Parses a text to its tree.
 ///
 /// # Errors
-/// The place at which it is no JSON5, or that it holds no object.
+/// A single fault: the text is not valid JSON5, or it is not an object.
 pub fn parse(text: &Text) -> Result<Value, Faults> {
     let options = ParseOptions { allow_missing_commas: false, ..ParseOptions::default() };
     let parsed = parse_to_ast(text.text(), &CollectOptions::default(), &options);
-    let one = |span: Range<usize>, what: String| Faults::new(text, vec![Fault::new(span, "", what)]);
+    let single_fault = |span: Range<usize>, what: String| Faults::new(text, vec![Fault::new(span, "", what)]);
     let parsed = parsed.map_err(|error| {
         let range = error.range();
-        one(range.start..range.end, format!("is no JSON5: {}", lower(&error.kind().to_string())))
+        single_fault(
+            range.start..range.end,
+            format!("is not valid JSON5: {}", lowercase_first(&error.kind().to_string())),
+        )
     })?;
-    let value = parsed.value.ok_or_else(|| one(0..0, "holds nothing; an object is expected".into()))?;
-    let value = own(&value);
+    let value =
+        parsed.value.ok_or_else(|| single_fault(0..0, "holds nothing; an object is expected".into()))?;
+    let value = convert(&value);
     match value.kind {
         Kind::Table(_) => Ok(value),
-        ref other => Err(one(value.span.clone(), format!("holds {}; an object is expected", other.word()))),
+        ref other => Err(single_fault(
+            value.span.clone(),
+            format!("holds {}; an object is expected", other.kind_name()),
+        )),
     }
 }
 
-fn lower(words: &str) -> String {
+fn lowercase_first(words: &str) -> String {
     let mut letters = words.chars();
     letters.next().map_or(String::new(), |first| first.to_lowercase().chain(letters).collect())
 }
 
-fn number(text: &str) -> f64 {
+fn parse_number(text: &str) -> f64 {
     let (sign, digits) = match text.as_bytes().first() {
         Some(b'-') => (-1.0, &text[1..]),
         Some(b'+') => (1.0, &text[1..]),
@@ -141,21 +150,21 @@
     sign * read
 }
 
-fn own(value: &ast::Value<'_>) -> Value {
+fn convert(value: &ast::Value<'_>) -> Value {
     let range = value.range();
     let kind = match value {
         ast::Value::NullKeyword(_) => Kind::Null,
         ast::Value::BooleanLit(flag) => Kind::Flag(flag.value),
-        ast::Value::NumberLit(written) => Kind::Number(number(written.value)),
+        ast::Value::NumberLit(written) => Kind::Number(parse_number(written.value)),
         ast::Value::StringLit(text) => Kind::Text(text.value.to_string()),
-        ast::Value::Array(list) => Kind::List(list.elements.iter().map(own).collect()),
+        ast::Value::Array(list) => Kind::List(list.elements.iter().map(convert).collect()),
         ast::Value::Object(table) => {
             let member = |property: &ast::ObjectProp<'_>| {
                 let name = property.name.range();
                 Member {
                     span: name.start..name.end,
                     name: property.name.as_str().to_string(),
-                    value: own(&property.value),
+                    value: convert(&property.value),
                 }
             };
             Kind::Table(table.properties.iter().map(member).collect())
--- a/src/document/read.rs
+++ b/src/document/read.rs
@@ -1,50 +1,50 @@
-//! Typed readers: each takes what it can, and books what it cannot.
+//! Typed readers of values. A reader returns `None` for an invalid value and records the fault.
 
 use super::{Fault, Kind, Member, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::ops::{Range, RangeInclusive};
 
-/// Share. A known name must be at least so alike to be proposed for an unknown one.
-const ALIKE: f64 = 0.75;
+/// The lowest Jaro-Winkler similarity at which a known name is suggested for an unknown one.
+const MIN_SIMILARITY: f64 = 0.75;
 
-/// Where the faults of a file gather.
+/// Collects the faults of a file.
 #[derive(Debug, Default)]
 pub struct Sink(RefCell<Vec<Fault>>);
 
 impl Sink {
-    /// Books a fault.
+    /// Records a fault.
     pub fn push(&self, fault: Fault) {
         self.0.borrow_mut().push(fault);
     }
 
-    /// Takes all that were booked.
+    /// Removes and returns all recorded faults.
     pub fn take(&self) -> Vec<Fault> {
         self.0.take()
     }
 
-    /// How many were booked.
+    /// The number of recorded faults.
     pub fn count(&self) -> usize {
         self.0.borrow().len()
     }
 }
 
-/// A number as it would be written: very large and very small ones with an exponent.
-fn shown(number: f64) -> String {
+/// Formats a number; very large and very small ones get an exponent.
+fn format_number(number: f64) -> String {
     match number.abs() {
         x if x != 0.0 && !(1e-6..1e15).contains(&x) => format!("{number:e}"),
         _ => number.to_string(),
     }
 }
 
-/// The known name that is nearest to another, where one is near.
+/// The known name that is most similar to another, if one is similar enough.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    let alike = |k: &str| strsim::jaro_winkler(&name.to_lowercase(), &k.to_lowercase());
-    let best = known.into_iter().map(|k| (alike(k), k)).max_by(|a, b| a.0.total_cmp(&b.0));
-    best.filter(|(share, _)| *share >= ALIKE).map(|(_, k)| k)
+    let similarity = |k: &str| strsim::jaro_winkler(&name.to_lowercase(), &k.to_lowercase());
+    let best = known.into_iter().map(|k| (similarity(k), k)).max_by(|a, b| a.0.total_cmp(&b.0));
+    best.filter(|(score, _)| *score >= MIN_SIMILARITY).map(|(_, k)| k)
 }
 
-/// A value with its path, to be read as something.
+/// A value with its path, and the sink for its faults.
 #[derive(Clone)]
 pub struct Item<'a> {
     path: String,
@@ -58,53 +58,53 @@
         Item { path: String::new(), value, sink }
     }
 
-    /// Where it stands in the document.
+    /// The path in the document.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// Where its faults are booked.
+    /// The sink that collects its faults.
     pub fn sink(&self) -> &'a Sink {
         self.sink
     }
 
-    /// The bytes that it takes.
+    /// The range of bytes in the text.
     pub fn span(&self) -> Range<usize> {
         self.value.span.clone()
     }
 
-    /// Books a fault of this value.
+    /// Records a fault of this value.
     pub fn fault(&self, what: impl Into<String>) {
         self.sink.push(Fault::new(self.span(), &self.path, what.into()));
     }
 
-    /// Books a fault of this value that would break a rule.
+    /// Records a fault of this value, with the rule that it would break.
     pub fn breaks(&self, what: impl Into<String>, rule: impl Into<String>) {
         let fault = Fault::new(self.span(), &self.path, what.into());
         self.sink.push(Fault { rule: Some(rule.into()), ..fault });
     }
 
     fn expected(&self, what: &str) {
-        self.fault(format!("is {}; {what} is expected", self.value.kind.word()));
+        self.fault(format!("is {}; {what} is expected", self.value.kind.kind_name()));
     }
 
-    /// As an object.
+    /// Reads an object.
     pub fn section(&self) -> Option<Section<'a>> {
         let Kind::Table(members) = &self.value.kind else {
             self.expected("an object");
             return None;
         };
-        let mut first: BTreeMap<&str, &Member> = BTreeMap::new();
+        let mut by_name: BTreeMap<&str, &Member> = BTreeMap::new();
         for member in members {
-            if first.insert(&member.name, member).is_some() {
+            if by_name.insert(&member.name, member).is_some() {
                 let path = join(&self.path, &member.name);
                 self.sink.push(Fault::new(member.span.clone(), &path, "is named twice".into()));
             }
         }
-        Some(Section { item: self.clone(), members, asked: RefCell::default() })
+        Some(Section { item: self.clone(), members, names_read: RefCell::default() })
     }
 
-    /// As a list.
+    /// Reads a list.
     pub fn list(&self) -> Option<Vec<Item<'a>>> {
         let Kind::List(values) = &self.value.kind else {
             self.expected("a list");
@@ -114,7 +114,7 @@
         Some(values.iter().enumerate().map(item).collect())
     }
 
-    /// As a string that is not empty.
+    /// Reads a string that is not empty.
     pub fn text(&self) -> Option<&'a str> {
         match &self.value.kind {
             Kind::Text(text) if text.is_empty() => self.fault("is empty"),
@@ -124,7 +124,7 @@
         None
     }
 
-    /// As a truth value.
+    /// Reads a boolean.
     pub fn flag(&self) -> Option<bool> {
         match self.value.kind {
             Kind::Flag(flag) => return Some(flag),
@@ -133,7 +133,7 @@
         None
     }
 
-    /// As a finite number.
+    /// Reads a finite number.
     pub fn number(&self) -> Option<f64> {
         let Kind::Number(number) = self.value.kind else {
             self.expected("a number");
@@ -149,46 +149,56 @@
         None
     }
 
-    /// As a number within bounds.
+    /// Reads a number within bounds.
     pub fn within(&self, range: RangeInclusive<f64>, unit: &str) -> Option<f64> {
         let number = self.number()?;
         if range.contains(&number) {
             return Some(number);
         }
-        self.fault(format!("is {}; {} to {}{unit} are allowed", shown(number), range.start(), range.end()));
+        self.fault(format!(
+            "is {}; {} to {}{unit} are allowed",
+            format_number(number),
+            range.start(),
+            range.end()
+        ));
         None
     }
 
-    /// As a number above 0.
+    /// Reads a number above 0 and up to `most`.
     pub fn positive(&self, most: f64, unit: &str) -> Option<f64> {
         let number = self.number()?;
         if number > 0.0 && number <= most {
             return Some(number);
         }
-        self.fault(format!("is {}; above 0 and up to {most}{unit} is allowed", shown(number)));
+        self.fault(format!("is {}; above 0 and up to {most}{unit} is allowed", format_number(number)));
         None
     }
 
-    /// As a whole number within bounds.
+    /// Reads a whole number within bounds.
     pub fn count(&self, range: RangeInclusive<u64>) -> Option<u64> {
         let number = self.number()?;
         if number.fract() != 0.0 {
-            self.fault(format!("is {}; a whole number is expected", shown(number)));
+            self.fault(format!("is {}; a whole number is expected", format_number(number)));
             return None;
         }
         if number < *range.start() as f64 || number > *range.end() as f64 {
-            self.fault(format!("is {}; {} to {} are allowed", shown(number), range.start(), range.end()));
+            self.fault(format!(
+                "is {}; {} to {} are allowed",
+                format_number(number),
+                range.start(),
+                range.end()
+            ));
             return None;
         }
         Some(number as u64)
     }
 
-    /// As milliseconds above 0; gives seconds.
+    /// Reads milliseconds above 0, and returns seconds.
     pub fn millis(&self, most_ms: f64) -> Option<f64> {
         self.positive(most_ms, " ms").map(|ms| ms / 1e3)
     }
 
-    /// As two numbers from 0 up to `most`, the first not above the second.
+    /// Reads a list of two numbers from 0 up to `most`, the first not above the second.
     pub fn span_of(&self, most: f64) -> Option<(f64, f64)> {
         let parts = self.list()?;
         let [least, upper] = &parts[..] else {
@@ -203,7 +213,7 @@
         Some((least, upper))
     }
 
-    /// As one of some words.
+    /// Reads one of some words, and returns the word's value.
     pub fn one_of<T: Copy>(&self, words: &[(&str, T)]) -> Option<T> {
         let text = self.text()?;
         if let Some((_, value)) = words.iter().find(|(word, _)| *word == text) {
@@ -214,16 +224,16 @@
         None
     }
 
-    /// Books that a name is not known, with the nearest that is.
+    /// Records that a name is unknown, with the most similar known name or all known ones.
     pub fn unknown(&self, name: &str, known: &[&str]) {
-        self.fault(not_known(name, known));
+        self.fault(unknown_name(name, known));
     }
 }
 
-fn not_known(name: &str, known: &[&str]) -> String {
+fn unknown_name(name: &str, known: &[&str]) -> String {
     match nearest(name, known.iter().copied()) {
         Some(near) => format!("{name:?} is not known; did you mean {near:?}?"),
-        None => format!("{name:?} is not known; there are {}", known.join(", ")),
+        None => format!("{name:?} is not known; the known names are {}", known.join(", ")),
     }
 }
 
@@ -234,11 +244,11 @@
     }
 }
 
-/// An object whose names are read one by one; those that nobody asked for are faults.
+/// An object whose members are read by name; members that were not read are faults.
 pub struct Section<'a> {
     item: Item<'a>,
     members: &'a [Member],
-    asked: RefCell<Vec<&'static str>>,
+    names_read: RefCell<Vec<&'static str>>,
 }
 
 impl<'a> Section<'a> {
@@ -247,14 +257,15 @@
         &self.item
     }
 
-    /// A member by its name. Of those that are named twice the last one counts, and all are told.
+    /// The member with this name. Of duplicates the last one is returned, and reading the object records a
+    /// fault.
     pub fn get(&self, name: &'static str) -> Option<Item<'a>> {
-        self.asked.borrow_mut().push(name);
+        self.names_read.borrow_mut().push(name);
         let member = self.members.iter().rev().find(|m| m.name == name)?;
         Some(Item { path: join(&self.item.path, name), value: &member.value, sink: self.item.sink })
     }
 
-    /// A member that must be there.
+    /// The member with this name; records a fault if it is missing.
     pub fn need(&self, name: &'static str) -> Option<Item<'a>> {
         let found = self.get(name);
         if found.is_none() {
@@ -263,7 +274,7 @@
         found
     }
 
-    /// Every member, whatever its name; none of them counts as unknown.
+    /// All members, whatever their names, for objects whose names are not fixed.
     pub fn all(&self) -> Vec<(&'a Member, Item<'a>)> {
         let item = |m: &'a Member| {
             let path = join(&self.item.path, &m.name);
@@ -272,16 +283,16 @@
         self.members.iter().map(item).collect()
     }
 
-    /// Books the names that nobody asked for. `wish` tells the rule that an unknown name would break, where it is
-    /// known to be a wish for something that is never allowed.
-    pub fn close(&self, wish: impl Fn(&str) -> Option<String>) {
-        let asked = self.asked.borrow();
-        for member in self.members.iter().filter(|m| !asked.contains(&m.name.as_str())) {
+    /// Records a fault for each member that was not read. `forbidden` returns the rule that an unknown name
+    /// would break, if the name is recognised as a request for something that is never allowed.
+    pub fn close(&self, forbidden: impl Fn(&str) -> Option<String>) {
+        let names_read = self.names_read.borrow();
+        for member in self.members.iter().filter(|m| !names_read.contains(&m.name.as_str())) {
             let path = join(&self.item.path, &member.name);
-            let rule = wish(&member.name);
+            let rule = forbidden(&member.name);
             let what = match rule {
-                Some(_) => "is not to be had".to_string(),
-                None => not_known(&member.name, &asked),
+                Some(_) => "is not supported".to_string(),
+                None => unknown_name(&member.name, &names_read),
             };
             self.item.sink.push(Fault { span: member.span.clone(), path, what, rule });
         }
--- a/src/document/tests.rs
+++ b/src/document/tests.rs
@@ -1,4 +1,4 @@
-//! The readers against texts that are at fault.
+//! Tests of the parser and the readers with invalid texts.
 
 use super::*;
 
@@ -16,18 +16,18 @@
     }
 }
 
-/// Guards operators against a file of which only the first fault is told, or one at the wrong place.
+/// All faults of a file must be reported, each at the right position.
 #[test]
-fn all_faults_are_told_in_the_order_of_the_text() {
+fn all_faults_are_reported_in_the_order_of_the_text() {
     let text = "{\n  // ä remark\n  a: 0,\n  'b': NaN, c: 1e999, d: 0x10, d: 2,\n  lissen: '',\n}";
-    let told = faults(text, |s| {
+    let reported = faults(text, |s| {
         for name in ["d", "c", "b", "a"] {
             s.get(name).and_then(|i| i.millis(1e3));
         }
         s.get("listen");
     });
     assert_eq!(
-        told,
+        reported,
         [
             "f:3:6: a: is 0; above 0 and up to 1000 ms is allowed",
             "f:4:8: b: is not a number",
@@ -38,13 +38,13 @@
     );
 }
 
-/// Guards against a text that is cut off, as by a writer that has not finished.
+/// A truncated text, as read while a program still writes the file, must not parse.
 #[test]
-fn every_cut_of_a_text_is_refused_or_whole() {
-    let whole = "{rest: {listen: \"a\", n: [1, 2.5, -3]}, x: null}";
-    for cut in 0..whole.len() {
-        assert!(parse(&Text::new("f", &whole[..cut])).is_err(), "{cut}");
+fn every_truncated_text_is_rejected() {
+    let complete = "{rest: {listen: \"a\", n: [1, 2.5, -3]}, x: null}";
+    for cut in 0..complete.len() {
+        assert!(parse(&Text::new("f", &complete[..cut])).is_err(), "{cut}");
     }
-    assert!(parse(&Text::new("f", whole)).is_ok());
-    assert!(parse(&Text::new("f", "[".repeat(100_000))).is_err(), "nested without end");
+    assert!(parse(&Text::new("f", complete)).is_ok());
+    assert!(parse(&Text::new("f", "[".repeat(100_000))).is_err(), "nested too deeply");
 }
--- a/src/life/cli.rs
+++ b/src/life/cli.rs
@@ -3,7 +3,7 @@
 use super::config::{Config, ConfigError};
 use crate::decide::limits::{explain, Front, Subject};
 use crate::placer::Room;
-use crate::wire::import::{self, Bad, Mapping};
+use crate::wire::import::{self, InvalidLine, Mapping};
 use crate::wire::rest;
 use clap::{Parser, Subcommand, ValueEnum};
 use std::io::Write;
@@ -20,32 +20,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a planner until SIGTERM.
+    /// Run a planner until SIGTERM or SIGINT.
     Serve {
-        /// The configuration; the file named in NODE_CONFIG if absent.
+        /// The configuration; by default the file named in NODE_CONFIG.
         #[arg(long)]
         config: Option<PathBuf>,
-        /// The operators' file; all that it sets up is off without it.
+        /// The operators' file; without it, all that it configures is off.
         #[arg(long)]
         operators: Option<PathBuf>,
     },
-    /// Look a configuration over, and tell what is wrong with it.
+    /// Check a configuration and report its faults.
     Check {
-        /// The configuration; the file named in NODE_CONFIG if absent.
+        /// The configuration; by default the file named in NODE_CONFIG.
         #[arg(long)]
         config: Option<PathBuf>,
-        /// The operators' file; each of its faults is shown with its place.
+        /// The operators' file; each fault is shown with its position.
         #[arg(long)]
         operators: Option<PathBuf>,
     },
-    /// Look into the limits of an operators' file.
+    /// Inspect the limits of an operators' file.
     #[command(subcommand)]
     Limits(Limits),
-    /// Turn a HAR file or an access log into a job mix, on standard output. Bad lines are told by number.
+    /// Convert a HAR file or an access log to a job mix on standard output; report invalid lines by number.
     Import {
-        /// The file.
+        /// The HAR file or access log.
         file: PathBuf,
-        /// Its format; common and combined are read alike.
+        /// The file's format; common and combined are read alike.
         #[arg(long, value_enum)]
         format: Format,
         /// The class of requests that change nothing.
@@ -54,30 +54,30 @@
         /// The class of all other requests.
         #[arg(long, default_value = "keyed")]
         keyed_class: String,
-        /// Milliseconds in which each job must stand.
+        /// Milliseconds in which each job must be placed.
         #[arg(long, default_value_t = 8000)]
         deadline_ms: u64,
     },
-    /// Submit a job mix to a planner's REST front, and tell how each job ended.
+    /// Submit a job mix to a planner's REST API and print the result of each job.
     Submit {
-        /// The mix.
+        /// The job mix.
         file: PathBuf,
-        /// The planner.
+        /// The URL of the planner's REST API.
         #[arg(long, default_value = "http://127.0.0.1:8080")]
         url: String,
-        /// Jobs that are open at once.
+        /// Maximum number of jobs that are open at once.
         #[arg(long, default_value_t = 8)]
         at_once: usize,
     },
-    /// Tell the version.
+    /// Print the version.
     Version,
 }
 
 #[derive(Subcommand)]
 enum Limits {
-    /// Print the limits of a job, and where each comes from.
+    /// Print the limits of a job and the origin of each.
     Explain {
-        /// The configuration; the file named in NODE_CONFIG if absent.
+        /// The configuration; by default the file named in NODE_CONFIG.
         #[arg(long)]
         config: Option<PathBuf>,
         /// The operators' file.
@@ -86,27 +86,27 @@
         /// The job's class.
         #[arg(long)]
         class: String,
-        /// The job's service, in its owner's words.
+        /// The job's service, as its owner names it.
         #[arg(long, default_value = "")]
         service: String,
-        /// The front that it comes through.
+        /// The interface through which it is submitted.
         #[arg(long, value_enum, default_value = "platform")]
         front: FrontName,
-        /// Cores that it asks for.
+        /// Cores that it requests.
         #[arg(long, default_value_t = 1.0)]
         cores: f64,
-        /// Memory that it asks for.
+        /// Memory that it requests.
         #[arg(long, default_value_t = 1.0)]
         memory: f64,
     },
     /// Print what would change from one operators' file to another.
     Diff {
-        /// The configuration; the file named in NODE_CONFIG if absent.
+        /// The configuration; by default the file named in NODE_CONFIG.
         #[arg(long)]
         config: Option<PathBuf>,
-        /// The file in force.
+        /// The old file.
         old: PathBuf,
-        /// The file that would follow it.
+        /// The new file.
         new: PathBuf,
     },
 }
@@ -124,26 +124,26 @@
     Combined,
 }
 
-fn tell_bad(file: &Path, bad: &[Bad]) {
-    for Bad { number, why } in bad {
+fn report_invalid(file: &Path, invalid: &[InvalidLine]) {
+    for InvalidLine { number, why } in invalid {
         eprintln!("{}:{number}: {why}", file.display());
     }
 }
 
 fn import_file(file: &Path, format: Format, mapping: &Mapping) -> Result<(), String> {
     let text = std::fs::read(file).map_err(|e| format!("cannot read {}: {e}", file.display()))?;
-    let (requests, bad) = match format {
+    let (requests, invalid) = match format {
         Format::Har => import::har::read(&text).map_err(|e| format!("{}: {e}", file.display()))?,
         Format::Common | Format::Combined => import::access_log::read(&text),
     };
-    tell_bad(file, &bad);
+    report_invalid(file, &invalid);
     let mut out = std::io::stdout().lock();
     for job in mapping.mix(&requests) {
         let line = serde_json::to_string(&job).map_err(|e| e.to_string())?;
         writeln!(out, "{line}").map_err(|e| format!("cannot write: {e}"))?;
     }
-    if requests.is_empty() && !bad.is_empty() {
-        return Err(format!("{}: no line could be read", file.display()));
+    if requests.is_empty() && !invalid.is_empty() {
+        return Err(format!("{}: no valid line or entry", file.display()));
     }
     Ok(())
 }
@@ -151,30 +151,30 @@
 fn submit_mix(file: &Path, url: &str, at_once: usize) -> Result<(), String> {
     rest::loopback(url)?;
     let text = std::fs::read_to_string(file).map_err(|e| format!("cannot read {}: {e}", file.display()))?;
-    let (mix, bad) = import::read_mix(&text);
-    tell_bad(file, &bad);
+    let (mix, invalid) = import::read_mix(&text);
+    report_invalid(file, &invalid);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
     let ends = runtime.block_on(rest::submit(url, mix, at_once));
     for end in &ends {
-        println!("{} {} {}", end.number, end.status, end.words);
+        println!("{} {} {}", end.number, end.status, end.detail);
     }
     for (status, count) in rest::count(&ends) {
         println!("total {status} {count}");
     }
     let unanswered = ends.iter().filter(|e| e.status == 0).count();
-    if unanswered > 0 || !bad.is_empty() {
-        return Err(format!("{unanswered} jobs had no answer, {} lines could not be read", bad.len()));
+    if unanswered > 0 || !invalid.is_empty() {
+        return Err(format!("{unanswered} jobs without an answer, {} invalid lines", invalid.len()));
     }
     Ok(())
 }
 
-/// Shows every fault of an operators' file with its line; other errors in one line.
-fn drawn(error: ConfigError) -> String {
+/// Formats an error: every fault of an operators' file with its line, any other error in one line.
+fn format_error(error: ConfigError) -> String {
     match error {
         ConfigError::Operators(faults) => {
-            let many = if faults.count() == 1 { "" } else { "s" };
-            format!("{} fault{many}\n{}", faults.count(), faults.drawn().trim_end())
+            let plural = if faults.count() == 1 { "" } else { "s" };
+            format!("{} fault{plural}\n{}", faults.count(), faults.annotated().trim_end())
         }
         other => other.to_string(),
     }
@@ -184,15 +184,15 @@
     match command {
         Limits::Explain { config, operators, class, service, front, cores, memory } => {
             let config = Config::load(config)?;
-            let (settings, words) = super::settings_of(&config)?;
-            let file = super::operators_of(&config, &operators)?;
-            let index = words.class(&class).ok_or_else(|| ConfigError::NoClass(class.clone()))?;
+            let (settings, vocabulary) = super::parse_settings(&config)?;
+            let file = super::load_operators(&config, &operators)?;
+            let index = vocabulary.class(&class).ok_or_else(|| ConfigError::NoClass(class.clone()))?;
             let front = match front {
                 FrontName::Platform => Front::Platform,
                 FrontName::Rest => Front::Rest,
             };
             let subject = Subject { front, class: index, service: &service, room: Room { cores, memory } };
-            let (route, lines) = explain::explain(&file.limits, &subject, &settings, words.classes());
+            let (route, lines) = explain::explain(&file.limits, &subject, &settings, vocabulary.classes());
             println!("route: {}", route.as_deref().unwrap_or("none"));
             for line in lines {
                 println!("{:<15} {:<24} {}", line.name, line.value, line.from);
@@ -200,30 +200,30 @@
         }
         Limits::Diff { config, old, new } => {
             let config = Config::load(config)?;
-            let (_, words) = super::settings_of(&config)?;
-            let (old, new) = (super::operators_of(&config, &old)?, super::operators_of(&config, &new)?);
-            for line in explain::diff(old.limits.model(), new.limits.model(), words.classes()) {
+            let (_, vocabulary) = super::parse_settings(&config)?;
+            let (old, new) = (super::load_operators(&config, &old)?, super::load_operators(&config, &new)?);
+            for line in explain::diff(old.limits.model(), new.limits.model(), vocabulary.classes()) {
                 println!("{line}");
             }
             if old.rest != new.rest {
-                println!("~ rest: changes with a restart alone");
+                println!("~ rest: changes take effect only after a restart");
             }
         }
     }
     Ok(())
 }
 
-/// Reads the command line and does what it says.
+/// Parses the command line and runs the command.
 pub fn main() -> ExitCode {
     let arguments = Arguments::parse();
     super::log();
-    let done = match arguments.command {
+    let result = match arguments.command {
         Command::Serve { config, operators } => super::serve(config, operators).map_err(|e| e.to_string()),
         Command::Check { config, operators } => {
-            let told = super::check(config, operators).map_err(drawn);
-            told.map(|told| told.iter().for_each(|line| println!("note: {line}")))
+            let notes = super::check(config, operators).map_err(format_error);
+            notes.map(|notes| notes.iter().for_each(|line| println!("note: {line}")))
         }
-        Command::Limits(command) => limits(command).map_err(drawn),
+        Command::Limits(command) => limits(command).map_err(format_error),
         Command::Import { file, format, stateless_class, keyed_class, deadline_ms } => {
             let source = file.file_name().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default();
             let mapping = Mapping { source, stateless: stateless_class, keyed: keyed_class, deadline_ms };
@@ -235,7 +235,7 @@
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("burlhook: {message}");
--- a/src/life/config.rs
+++ b/src/life/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the platform hands over.
+//! The configuration file that the platform provides.
 
 use crate::document::Faults;
 use crate::wire::hub::Bounds;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why the program cannot start. Each is told in one line.
+/// Why the program cannot start. Each message is one line.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// No file is named.
@@ -20,43 +20,45 @@
     /// The file cannot be read.
     #[error("cannot read {0}: {1}")]
     Read(PathBuf, std::io::Error),
-    /// The file is not what it should be.
+    /// The file is not a valid configuration.
     #[error("{0}: {1}")]
     Parse(PathBuf, String),
-    /// The settings cannot be served.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(String),
-    /// The operators' file cannot be used.
+    /// The operators' file has faults.
     #[error("{0}")]
     Operators(#[from] Faults),
     /// A class that the settings do not have.
     #[error("there is no class {0:?} in the settings")]
     NoClass(String),
-    /// The address is not to be had.
+    /// The address cannot be bound.
     #[error("cannot listen on {0}: {1}")]
     Listen(String, std::io::Error),
-    /// The system gives no runtime.
+    /// The runtime or the signal handlers cannot be set up.
     #[error("cannot start: {0}")]
     Runtime(std::io::Error),
 }
 
-/// Share of the descriptors that owners' connections may take. Owners hold a third at most; the rest is for those
-/// that ask once and stay.
+/// Share of the descriptors that owners' connections may take. Owners hold at most a third; the remainder is
+/// for clients that make one request and keep their connection open.
 const OWNERS_SHARE: f64 = 0.5;
-/// Share of the descriptors that owners hold at most, and that no connection to a box takes from them.
-const OWNERS_HOLD: f64 = 1.0 / 3.0;
-/// Share of the descriptors, and the least count, kept for the board, listeners, dials and connections that end.
+/// Share of the descriptors that owners hold at most. It is reserved for them: connections to machines never
+/// take it.
+const OWNERS_RESERVED: f64 = 1.0 / 3.0;
+/// Share of the descriptors, and their minimum count, that is kept for the notice board, listeners, dials and
+/// closing connections.
 const SPARE: (f64, f64) = (1.0 / 16.0, 16.0);
-/// Share of the memory that may wait in the queues of all owners' connections, and in those of all boxes.
+/// Share of the memory for the queues of all owners' connections; those of all machines may take as much.
 const QUEUES_SHARE: f64 = 0.125;
-/// Share of the memory that jobs which wait may take, and that tasks which stand may take.
+/// Share of the memory for waiting jobs; placed tasks may take as much.
 const JOBS_SHARE: f64 = 0.25;
-/// Bytes that a task which stands takes, at most.
+/// Bytes. Upper bound of the memory of a placed task.
 const STANDING_BYTES: f64 = 2048.0;
-/// Bytes. The least and the most that may wait for one owner or one box.
-const QUEUE: (f64, f64) = (64.0 * 1024.0, 1024.0 * 1024.0);
-/// Count. Boxes among which their share of the memory is divided.
-const BOXES: f64 = 64.0;
+/// Bytes. Smallest and largest limit of the queue to one owner or one machine.
+const QUEUE_RANGE: (f64, f64) = (64.0 * 1024.0, 1024.0 * 1024.0);
+/// Count. Machines by which the memory for their queues is divided.
+const MACHINE_QUEUES: f64 = 64.0;
 /// Bytes in one of the configuration's megabytes.
 const MEGABYTE: f64 = 1024.0 * 1024.0;
 
@@ -74,21 +76,26 @@
 }
 
 impl Limits {
-    /// What follows from the limits for jobs: bytes of those that wait, and how many may stand.
+    /// The bounds on jobs: bytes of those that wait, and the count of placed ones.
     pub fn jobs(&self) -> (usize, usize) {
         let share = self.memory_mb.max(0.0) * MEGABYTE * JOBS_SHARE;
         (share as usize, (share / STANDING_BYTES) as usize)
     }
 
-    /// What follows from the limits for the connections.
+    /// The bounds on connections and their queues.
     pub fn bounds(&self) -> Bounds {
         let owners = (f64::from(self.sockets) * OWNERS_SHARE).max(1.0);
         let queues = self.memory_mb.max(0.0) * MEGABYTE * QUEUES_SHARE;
-        let queue = |connections: f64| (queues / connections).clamp(QUEUE.0, QUEUE.1) as usize;
+        let queue = |connections: f64| (queues / connections).clamp(QUEUE_RANGE.0, QUEUE_RANGE.1) as usize;
         let sockets = f64::from(self.sockets);
-        let links = sockets - sockets * OWNERS_HOLD - (sockets * SPARE.0).max(SPARE.1);
+        let links = sockets - sockets * OWNERS_RESERVED - (sockets * SPARE.0).max(SPARE.1);
         let links = links.max(1.0) as usize;
-        Bounds { owners: owners as usize, owner_queue: queue(owners), machine_queue: queue(BOXES), links }
+        Bounds {
+            owners: owners as usize,
+            owner_queue: queue(owners),
+            machine_queue: queue(MACHINE_QUEUES),
+            links,
+        }
     }
 }
 
@@ -107,9 +114,9 @@
     settings: Value,
 }
 
-/// What the planner is told.
+/// The configuration of a planner.
 pub struct Config {
-    /// The file that it was read from.
+    /// The file from which it was read.
     pub path: PathBuf,
     pub name: String,
     pub listen: String,
@@ -120,11 +127,11 @@
     pub settings: Value,
 }
 
-/// Seconds. The time for a connection to come up, where the settings name none.
-const DIAL_S: f64 = 0.25;
+/// Seconds. The timeout for connecting to a machine, if the settings name none.
+const DEFAULT_DIAL_TIMEOUT_S: f64 = 0.25;
 
 impl Config {
-    /// Reads the file that is named, or the one that the platform names.
+    /// Reads the file at `path`, or else the one that the environment variable NODE_CONFIG names.
     pub fn load(path: Option<PathBuf>) -> Result<Config, ConfigError> {
         let variable = |name| std::env::var_os(name).filter(|v| !v.is_empty());
         let path = path.or_else(|| variable("NODE_CONFIG").map(PathBuf::from)).ok_or(ConfigError::Missing)?;
@@ -147,14 +154,16 @@
         })
     }
 
-    /// Where to follow the notice board, and from where.
+    /// The address of the notice board, and the notices that are known already.
     pub fn source(&self) -> Source {
         Source { address: self.board.clone(), known: self.known.clone() }
     }
 
-    /// The time for a connection to come up.
-    pub fn dial(&self) -> Duration {
-        let told = self.settings.pointer("/permissions/dial_timeout_s").and_then(Value::as_f64);
-        Duration::from_secs_f64(told.filter(|s| s.is_finite() && *s > 0.0).unwrap_or(DIAL_S).min(5.0))
+    /// The timeout for connecting to a machine.
+    pub fn dial_timeout(&self) -> Duration {
+        let configured = self.settings.pointer("/permissions/dial_timeout_s").and_then(Value::as_f64);
+        Duration::from_secs_f64(
+            configured.filter(|s| s.is_finite() && *s > 0.0).unwrap_or(DEFAULT_DIAL_TIMEOUT_S).min(5.0),
+        )
     }
 }
--- a/src/life/mod.rs
+++ b/src/life/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop: the command line, the configuration, signals, and the phases from start to exit.
+//! The running program: command line, configuration, signals, reloads, and the phases from start to exit.
 
 pub mod cli;
 mod config;
@@ -21,24 +21,24 @@
 use tokio::sync::{mpsc, watch};
 use tracing_subscriber::EnvFilter;
 
-/// Time between looks at a draining planner.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a draining planner checks whether it can end.
+const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// Why a file is refused that has another fleet than the one in force.
-const FLEET_STAYS: &str = "the section \"fleet\" changes with a restart alone";
+/// The reason for which a reload rejects an operators' file whose fleet differs from the one in force.
+const FLEET_NEEDS_RESTART: &str = "the section \"fleet\" changes with a restart alone";
 
-/// A phase of the program's life.
+/// A phase of the program between start and exit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     /// Reads its configuration and opens its sockets.
     Starting,
-    /// Takes and answers.
+    /// Accepts jobs and answers them.
     Serving,
-    /// Told to read its configuration anew; what is in flight goes on.
+    /// Reads its configuration again after SIGHUP; jobs in flight go on.
     Reloading,
-    /// Told to stop: takes what still comes, answers what it took.
+    /// Stops after SIGTERM or SIGINT: still accepts jobs for a while, and answers all that it has accepted.
     Draining { since: Instant },
-    /// Nothing is owed any more.
+    /// All accepted jobs are answered, or the time for draining is over.
     Stopped,
 }
 
@@ -54,19 +54,19 @@
     }
 }
 
-/// The program from start to exit.
-struct Life {
+/// The running program, from start to exit.
+struct Daemon {
     phase: Phase,
     config: Config,
-    /// The operators' file in force, where one is named.
+    /// The operators' file in force, if the command line names one.
     operators: Option<Operators>,
-    /// Where the notice board is; a reload moves it.
+    /// The address of the notice board, which streams the machine list; a reload can change it.
     board: watch::Sender<Source>,
-    /// The turns of the runtime's thread.
+    /// The turns of the runtime's thread, which bound the age of unread bytes.
     turns: Arc<Turns>,
 }
 
-/// The signals that the program heeds from its first moment on.
+/// The signals that the program handles, from before its sockets open.
 struct Signals {
     terms: Signal,
     interrupts: Signal,
@@ -83,19 +83,19 @@
     }
 }
 
-/// Has log lines go to standard error; `BURLHOOK_LOG` says which.
+/// Writes log lines to standard error, filtered by `BURLHOOK_LOG`.
 pub fn log() {
     let filter = EnvFilter::try_from_env("BURLHOOK_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false).init();
 }
 
-/// Runs a planner until it is told to stop.
+/// Runs a planner until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// What keeps it from starting.
+/// If the planner cannot start.
 pub fn serve(config: Option<PathBuf>, operators: Option<PathBuf>) -> Result<(), ConfigError> {
     let config = Config::load(config)?;
-    let operators = operators.map(|path| operators_of(&config, &path)).transpose()?;
+    let operators = operators.map(|path| load_operators(&config, &path)).transpose()?;
     let turns = Arc::new(Turns::default());
     let (parks, unparks) = (turns.clone(), turns.clone());
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -104,43 +104,43 @@
         .on_thread_unpark(move || unparks.unpark())
         .build();
     let board = watch::Sender::new(config.source());
-    let mut life = Life { phase: Phase::Starting, config, operators, board, turns };
+    let mut daemon = Daemon { phase: Phase::Starting, config, operators, board, turns };
     let runtime = runtime.map_err(ConfigError::Runtime)?;
-    let counts = runtime.block_on(life.live())?;
-    // Between the last look at the sockets and their end nothing is waited for, a log neither.
+    let counts = runtime.block_on(daemon.run())?;
+    // The sockets close right after the last check of them: nothing blocks in between, not even a log line.
     drop(runtime);
     log_counts(counts);
-    life.enter(Phase::Stopped);
+    daemon.enter(Phase::Stopped);
     Ok(())
 }
 
-/// Looks the files over without serving them; gives what is worth a word.
+/// Checks the files without serving them; returns notes on parts that are valid but probably not intended.
 ///
 /// # Errors
-/// What is wrong with them.
+/// The faults of the files.
 pub fn check(config: Option<PathBuf>, operators: Option<PathBuf>) -> Result<Vec<String>, ConfigError> {
     let config = Config::load(config)?;
-    let operators = operators.map(|path| operators_of(&config, &path)).transpose()?;
-    core_of(&config, operators.as_ref())?;
-    Ok(operators.map(|o| o.told).unwrap_or_default())
+    let operators = operators.map(|path| load_operators(&config, &path)).transpose()?;
+    build_core(&config, operators.as_ref())?;
+    Ok(operators.map(|o| o.notes).unwrap_or_default())
 }
 
-/// The settings that a configuration holds.
-fn settings_of(config: &Config) -> Result<(Settings, Vocabulary), ConfigError> {
-    let (settings, words) = vocabulary::settings(&config.settings).map_err(ConfigError::Settings)?;
+/// The settings of a configuration, and the vocabulary of their names.
+fn parse_settings(config: &Config) -> Result<(Settings, Vocabulary), ConfigError> {
+    let (settings, vocabulary) = vocabulary::settings(&config.settings).map_err(ConfigError::Settings)?;
     settings.check().map_err(|e| ConfigError::Settings(e.to_string()))?;
-    Ok((settings, words))
+    Ok((settings, vocabulary))
 }
 
-fn operators_of(config: &Config, path: &Path) -> Result<Operators, ConfigError> {
-    let (settings, words) = settings_of(config)?;
-    Ok(operators::load(path, &settings, &words)?)
+fn load_operators(config: &Config, path: &Path) -> Result<Operators, ConfigError> {
+    let (settings, vocabulary) = parse_settings(config)?;
+    Ok(operators::load(path, &settings, &vocabulary)?)
 }
 
-/// A core with the settings that the configuration holds.
-fn core_of(config: &Config, operators: Option<&Operators>) -> Result<Core, ConfigError> {
-    let (settings, words) = settings_of(config)?;
-    // Where nobody can look, nothing is kept for looking at.
+/// A core with the settings of the configuration.
+fn build_core(config: &Config, operators: Option<&Operators>) -> Result<Core, ConfigError> {
+    let (settings, vocabulary) = parse_settings(config)?;
+    // Without the REST API nobody can read the history or jobs that are over, so none are kept.
     let (waiting_bytes, standing) = config.limits.jobs();
     let nothing = CoreBounds { waiting_bytes, standing, history: 0, over: 0, over_s: 0.0 };
     let rest = operators.and_then(|o| o.rest.as_ref());
@@ -150,40 +150,40 @@
         over_s: rest.keep_over_s,
         ..nothing
     });
-    Core::new(settings, words, config.seed, keep).map_err(|e| ConfigError::Settings(e.to_string()))
+    Core::new(settings, vocabulary, config.seed, keep).map_err(|e| ConfigError::Settings(e.to_string()))
 }
 
-/// Puts what an operators' file says in force for what comes from now on.
-fn take(hub: &Hub, operators: &Operators) {
+/// Applies an operators' file to all jobs and groups that are submitted from now on.
+fn apply_operators(hub: &Hub, operators: &Operators) {
     let (table, digest) = (operators.limits.clone(), operators.digest.clone());
     hub.apply(Input::Limits { table, digest });
     hub.apply(Input::GroupSettings(operators.groups.clone()));
 }
 
-/// Logs what befell attempts and their connections so far.
+/// Logs the counts of rare events of attempts and their connections so far.
 fn log_counts(counts: Counts) {
     let Counts { unheard_attempts, unproved_ends, held_set_ups, cut_short } = counts;
     tracing::info!(unheard_attempts, unproved_ends, held_set_ups, cut_short, "counts");
 }
 
-/// Has all other tasks take what has come for them by now, connections that nobody accepted yet included.
-async fn hear_arrived() {
-    // The runtime looks at its sockets before it goes on here ...
+/// Lets all other tasks process the input that has arrived by now, including connections not accepted yet.
+async fn process_arrived_input() {
+    // The runtime polls its sockets before it resumes this task ...
     tokio::task::yield_now().await;
-    // ... and whoever it woke then stands in its queue before this.
+    // ... and the tasks that it then wakes are queued before the one spawned here.
     let _ = tokio::spawn(async {}).await;
 }
 
-impl Life {
+impl Daemon {
     fn enter(&mut self, phase: Phase) {
         tracing::info!(from = %self.phase, to = %phase, "phase");
         self.phase = phase;
     }
 
-    async fn live(&mut self) -> Result<Counts, ConfigError> {
+    async fn run(&mut self) -> Result<Counts, ConfigError> {
         let mut signals = Signals::new().map_err(ConfigError::Runtime)?;
         let hub = self.start().await?;
-        self.let_go_of_known();
+        self.drop_known_events();
         self.enter(Phase::Serving);
         loop {
             tokio::select! {
@@ -202,14 +202,15 @@
         Ok(counts)
     }
 
-    /// Reads both files anew; each is taken or refused alone, and one that cannot be used changes nothing. Of the
-    /// configuration, the notice board may have moved, and limits on connections may differ; of the operators' file, the
-    /// limits hold for the jobs that come from now on. What the program was started with for good, its settings,
-    /// address and REST front, stays.
+    /// Reads both files again. Each is accepted or rejected by itself, and a rejected one changes nothing. Of
+    /// the configuration, the notice board's address and the limits on connections take effect; of the
+    /// operators' file, the limits and group settings apply to jobs submitted from now on. The settings, the
+    /// listen address and the REST API stay as they were at the start.
     fn reload(&mut self, hub: &Hub) {
-        match Config::load(Some(self.config.path.clone())).and_then(|new| core_of(&new, None).map(|_| new)) {
+        match Config::load(Some(self.config.path.clone())).and_then(|new| build_core(&new, None).map(|_| new))
+        {
             Err(error) => {
-                tracing::error!(%error, "the new configuration cannot be used; the old one stays in force")
+                tracing::error!(%error, "the new configuration was rejected; the old one stays in force")
             }
             Ok(new) => {
                 hub.lock().set_bounds(new.limits.bounds());
@@ -217,10 +218,10 @@
             }
         }
         let Some(old) = &self.operators else { return };
-        // Checked against the settings that are in force, not those of a new configuration.
-        match operators_of(&self.config, &old.path) {
+        // The file is checked against the settings in force, not those of a new configuration.
+        match load_operators(&self.config, &old.path) {
             Err(error) => {
-                tracing::error!(%error, "the new operators' file cannot be used; the old one stays in force");
+                tracing::error!(%error, "the new operators' file was rejected; the old one stays in force");
                 let why = match error {
                     ConfigError::Operators(faults) => faults.lines(),
                     other => vec![other.to_string()],
@@ -229,9 +230,9 @@
             }
             Ok(new) if new.fleet != old.fleet => {
                 tracing::error!(
-                    "the new operators' file cannot be used; the old one stays in force: {FLEET_STAYS}"
+                    "the new operators' file was rejected; the old one stays in force: {FLEET_NEEDS_RESTART}"
                 );
-                hub.apply(Input::LimitsRefused { why: vec![FLEET_STAYS.into()] });
+                hub.apply(Input::LimitsRefused { why: vec![FLEET_NEEDS_RESTART.into()] });
             }
             Ok(new) => {
                 let restart = new.rest != old.rest;
@@ -240,30 +241,31 @@
                     digest = new.digest,
                     routes,
                     restart,
-                    told = new.told.join("; "),
+                    told = new.notes.join("; "),
                     "operators' file"
                 );
-                take(hub, &new);
-                // The front goes on as it was started; a change of its section is told until the restart.
+                apply_operators(hub, &new);
+                // The REST API keeps the options of the start. The old options stay recorded, so that each
+                // reload until the restart logs that the section differs.
                 self.operators = Some(Operators { rest: old.rest.clone(), ..new });
             }
         }
     }
 
-    /// Opens the sockets and starts the tasks.
+    /// Opens the sockets and spawns the tasks.
     async fn start(&self) -> Result<Arc<Hub>, ConfigError> {
         let config = &self.config;
-        let core = core_of(config, self.operators.as_ref())?;
+        let core = build_core(config, self.operators.as_ref())?;
         let (hub, wanted) = Hub::new(core, config.limits.bounds(), self.turns.clone());
         if let Some(operators) = &self.operators {
-            for told in &operators.told {
-                tracing::warn!("{told}");
+            for note in &operators.notes {
+                tracing::warn!("{note}");
             }
-            self.join(&hub, operators).await?;
-            take(&hub, operators);
+            self.join_fleet(&hub, operators).await?;
+            apply_operators(&hub, operators);
         }
         tokio::spawn(hub.clone().run_alarms());
-        tokio::spawn(platform::run_machine_links(hub.clone(), wanted, config.dial()));
+        tokio::spawn(platform::run_machine_links(hub.clone(), wanted, config.dial_timeout()));
         for (at, event) in config.known.notices.iter().enumerate() {
             platform::apply_event(
                 &hub,
@@ -287,8 +289,8 @@
         Ok(hub)
     }
 
-    /// Lets go of the machines that the configuration knew, which are taken in.
-    fn let_go_of_known(&mut self) {
+    /// Frees the machine list of the configuration once the hub has applied it.
+    fn drop_known_events(&mut self) {
         self.config.known = Arc::default();
         self.board.send_if_modified(|source| {
             source.known = Arc::default();
@@ -296,24 +298,25 @@
         });
     }
 
-    /// Takes part in the fleet that the operators' file names.
-    async fn join(&self, hub: &Arc<Hub>, operators: &Operators) -> Result<(), ConfigError> {
+    /// Joins the fleet of the operators' file, if it has one.
+    async fn join_fleet(&self, hub: &Arc<Hub>, operators: &Operators) -> Result<(), ConfigError> {
         let Some(fleet) = operators.fleet.clone() else { return Ok(()) };
         let bind = |e| ConfigError::Listen(fleet.listen.to_string(), e);
         let socket = UdpSocket::bind(fleet.listen).await.map_err(bind)?;
         let address = socket.local_addr().map_err(bind)?;
-        // No seed of a configuration may make two lives alike.
+        // Two incarnations must never be equal, so the configuration's seed is not used.
         let life = rand::random();
-        let (queue, said) = mpsc::channel(peers::QUEUE);
+        let (queue, outgoing) = mpsc::channel(peers::QUEUE);
         hub.lock().peers = Some(queue);
         hub.apply(Input::Join { plan: fleet.plan.clone(), life });
         let planners = fleet.planners.len();
-        tracing::info!(fleet = fleet.name, planners, %address, "hears planners");
-        tokio::spawn(peers::serve(hub.clone(), socket, (fleet, life), said));
+        tracing::info!(fleet = fleet.name, planners, %address, "receiving peer messages");
+        tokio::spawn(peers::serve(hub.clone(), socket, (fleet, life), outgoing));
         Ok(())
     }
 
-    /// Answers what was taken and what still comes, then returns. A further interrupt has all of it answered at once.
+    /// Answers accepted jobs and those that still arrive, then returns. SIGINT while draining has all of them
+    /// answered at once.
     async fn drain(&mut self, hub: &Hub, signals: &mut Signals) {
         let since = Instant::now();
         self.enter(Phase::Draining { since });
@@ -323,40 +326,43 @@
             let deadlines = inner.core.settings().classes.iter().map(|c| c.deadline_s);
             Timeline::new(deadlines.fold(0.0, f64::max))
         };
-        let told_at = hub.now();
-        hub.apply(Input::Draining { until: told_at + times.answers_by_s() });
-        let (mut busy, mut listens) = (since, true);
+        let drains_from = hub.now();
+        hub.apply(Input::Draining { until: drains_from + times.answers_by_s() });
+        let (mut last_busy, mut listens) = (since, true);
         loop {
             if listens && !times.takes_connections(since.elapsed().as_secs_f64()) {
                 listens = false;
                 hub.stop_listening.notify_one();
             }
             if !hub.lock().is_quiet(hub.now()) {
-                busy = Instant::now();
+                last_busy = Instant::now();
             }
-            match times.step(since.elapsed().as_secs_f64(), busy.elapsed().as_secs_f64()) {
+            match times.step(since.elapsed().as_secs_f64(), last_busy.elapsed().as_secs_f64()) {
                 Step::Wait => {}
                 Step::EndIfQuiet => {
-                    // After a pause of the process this may be the first to run.
-                    hear_arrived().await;
+                    // After a pause of the process this task may run before those that have input to process.
+                    process_arrived_input().await;
                     if hub.lock().is_quiet(hub.now()) {
                         return;
                     }
-                    busy = Instant::now();
+                    last_busy = Instant::now();
                 }
                 Step::End => {
                     let open = hub.lock().core.pending();
-                    tracing::warn!(open, "the planner ends, as it may be killed now");
+                    tracing::warn!(
+                        open,
+                        "the planner exits with unanswered jobs, as the time for draining is over"
+                    );
                     return;
                 }
             }
             tokio::select! {
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(DRAIN_POLL) => {}
                 _ = signals.interrupts.recv() => {
                     times.hasten(since.elapsed().as_secs_f64());
                     hub.apply(Input::Draining { until: hub.now() });
                 }
-                // The board may move while the planner drains, too.
+                // The address of the notice board may change while the planner drains, too.
                 _ = signals.hups.recv() => self.reload(hub),
             }
         }
--- a/src/life/operators.rs
+++ b/src/life/operators.rs
@@ -1,5 +1,6 @@
-//! The operators' file: one JSON5 text, a section for each subsystem, read by the section's owner. A section that is
-//! absent is off. All faults of a file are told at once, and a file with one is not used at all.
+//! The operators' file: a JSON5 text with a section for each subsystem, which reads its own section. A
+//! subsystem whose section is absent is off. All faults of a file are reported at once, and a file with a
+//! fault is not used.
 
 use crate::decide::fleet;
 use crate::decide::fleet::settings::FleetSettings;
@@ -14,64 +15,71 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A file that was read and found right.
+/// A file without faults.
 #[derive(Clone, Debug)]
 pub struct Operators {
     /// Where it was read from.
     pub path: PathBuf,
     /// SHA-256 of its text, in hex.
     pub digest: String,
-    /// The REST front, where it is on.
+    /// The options of the REST API, if it is on.
     pub rest: Option<Options>,
-    /// The limits; empty where the section is absent.
+    /// The limits; empty if the section is absent.
     pub limits: Arc<Table>,
-    /// Groups, where they are on.
+    /// The settings of groups, if they are on.
     pub groups: Option<Arc<GroupSettings>>,
-    /// The fleet, where the planner is in one.
+    /// The fleet, if the planner is in one.
     pub fleet: Option<FleetSettings>,
-    /// What is worth a word and no fault.
-    pub told: Vec<String>,
+    /// Remarks on parts that are valid but probably not intended.
+    pub notes: Vec<String>,
 }
 
-/// Reads a file and holds it against the settings.
+/// Reads a file and checks it against the settings.
 ///
 /// # Errors
 /// All its faults.
-pub fn load(path: &Path, settings: &Settings, words: &Vocabulary) -> Result<Operators, Faults> {
+pub fn load(path: &Path, settings: &Settings, vocabulary: &Vocabulary) -> Result<Operators, Faults> {
     let text = document::load(path)?;
-    read(path, &text, settings, words)
+    read(path, &text, settings, vocabulary)
 }
 
-/// Reads a file's text and holds it against the settings.
+/// Parses a file's text and checks it against the settings.
 ///
 /// # Errors
 /// All its faults.
-pub fn read(path: &Path, text: &Text, settings: &Settings, words: &Vocabulary) -> Result<Operators, Faults> {
+pub fn read(
+    path: &Path,
+    text: &Text,
+    settings: &Settings,
+    vocabulary: &Vocabulary,
+) -> Result<Operators, Faults> {
     let root = document::parse(text)?;
     let sink = Sink::default();
-    let mut told = Vec::new();
+    let mut notes = Vec::new();
     let (mut rest, mut groups, mut fleet, mut model) = (None, None, None, limits::Model::default());
     if let Some(section) = Item::root(&root, &sink).section() {
         rest = section.get("rest").and_then(|item| Options::read(&item));
-        let of_fleet = section.get("fleet");
-        fleet = of_fleet.as_ref().and_then(fleet::settings::read);
-        // A fleet that is at fault is told as such, and not once more with each limit that needs it.
-        let lease_s = match (&of_fleet, &fleet) {
+        let fleet_item = section.get("fleet");
+        fleet = fleet_item.as_ref().and_then(fleet::settings::read);
+        // A faulty fleet section is reported once: an infinite lease keeps the limits that need the lease
+        // from adding faults of their own.
+        let lease_s = match (&fleet_item, &fleet) {
             (None, _) => None,
             (Some(_), None) => Some(f64::INFINITY),
             (Some(_), Some(fleet)) => Some(fleet.plan.terms.lease as f64 / 1e6),
         };
         if let Some(item) = section.get("limits") {
-            let context = Context { settings, classes: words.classes(), zones: words.zones(), lease_s };
-            (model, told) = limits::read(&item, context);
+            let context =
+                Context { settings, classes: vocabulary.classes(), zones: vocabulary.zones(), lease_s };
+            (model, notes) = limits::read(&item, context);
         }
-        groups = section.get("groups").and_then(|item| groups::settings::read(&item, words.classes()));
+        groups = section.get("groups").and_then(|item| groups::settings::read(&item, vocabulary.classes()));
         section.close(|_| None);
     }
     if sink.count() > 0 {
         return Err(Faults::new(text, sink.take()));
     }
-    let zone = settings.zone.map(|zone| words.zone_name(zone));
+    let zone = settings.zone.map(|zone| vocabulary.zone_name(zone));
     let limits = Arc::new(Table::new(model, settings, zone.as_deref()));
     let digest = Sha256::digest(text.text().as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect();
     Ok(Operators {
@@ -81,6 +89,6 @@
         limits,
         groups: groups.map(Arc::new),
         fleet,
-        told,
+        notes,
     })
 }
--- a/src/wire/import/access_log.rs
+++ b/src/wire/import/access_log.rs
@@ -1,9 +1,9 @@
 //! Access logs in the common and the combined format, as pure functions on bytes.
 //!
 //! `host ident user [time] "METHOD path protocol" status bytes`, and in the combined format
-//! `"referer" "user agent"` besides. Both are read alike.
+//! also `"referer" "user agent"`. Both formats are parsed alike.
 
-use super::{Bad, Request};
+use super::{InvalidLine, Request};
 use chrono::DateTime;
 use winnow::combinator::{alt, delimited, opt, preceded, repeat};
 use winnow::error::{ContextError, ErrMode};
@@ -12,7 +12,7 @@
 
 type Result<T> = std::result::Result<T, ErrMode<ContextError>>;
 
-fn word<'a>(input: &mut &'a [u8]) -> Result<&'a [u8]> {
+fn field<'a>(input: &mut &'a [u8]) -> Result<&'a [u8]> {
     take_till(1.., b' ').parse_next(input)
 }
 
@@ -28,7 +28,7 @@
 }
 
 fn parts<'a>(input: &mut &'a [u8]) -> Result<Parts<'a>> {
-    (word, b' ', word, b' ', word, b' ').void().parse_next(input)?;
+    (field, b' ', field, b' ', field, b' ').void().parse_next(input)?;
     let time = delimited(b'[', take_till(1.., b']'), b']').parse_next(input)?;
     let request = preceded(b' ', quoted).parse_next(input)?;
     let status = take_while(3..=3, |b: u8| b.is_ascii_digit());
@@ -39,14 +39,15 @@
 }
 
 fn line(number: usize, bytes: &[u8]) -> std::result::Result<Request, String> {
-    let parts =
-        parts.parse(bytes).map_err(|e| format!("not an access log line, from byte {}", e.offset() + 1))?;
+    let parts = parts
+        .parse(bytes)
+        .map_err(|e| format!("not an access log line: unexpected text at byte {}", e.offset() + 1))?;
     let time = String::from_utf8_lossy(parts.time);
     let at = DateTime::parse_from_str(&time, "%d/%b/%Y:%H:%M:%S %z");
     let at = at.map_err(|e| format!("time {time:?}: {e}"))?;
     let request = String::from_utf8_lossy(&parts.request).into_owned();
-    let mut words = request.split(' ');
-    let (Some(method), Some(path)) = (words.next().filter(|m| !m.is_empty()), words.next()) else {
+    let mut fields = request.split(' ');
+    let (Some(method), Some(path)) = (fields.next().filter(|m| !m.is_empty()), fields.next()) else {
         return Err(format!("request {request:?} has no method and path"));
     };
     if !method.bytes().all(|b| b.is_ascii_uppercase()) {
@@ -57,9 +58,9 @@
     Ok(Request { number, at, method, host: String::new(), path, took_ms: None, bytes })
 }
 
-/// Reads a log; lines that cannot be read are told by number.
-pub fn read(log: &[u8]) -> (Vec<Request>, Vec<Bad>) {
-    let (mut requests, mut bad) = (Vec::new(), Vec::new());
+/// Parses a log; invalid lines are returned with their numbers.
+pub fn read(log: &[u8]) -> (Vec<Request>, Vec<InvalidLine>) {
+    let (mut requests, mut invalid) = (Vec::new(), Vec::new());
     for (at, bytes) in log.split(|&b| b == b'\n').enumerate() {
         let bytes = bytes.strip_suffix(b"\r").unwrap_or(bytes);
         if bytes.is_empty() {
@@ -67,8 +68,8 @@
         }
         match line(at + 1, bytes) {
             Ok(request) => requests.push(request),
-            Err(why) => bad.push(Bad { number: at + 1, why }),
+            Err(why) => invalid.push(InvalidLine { number: at + 1, why }),
         }
     }
-    (requests, bad)
+    (requests, invalid)
 }
--- a/src/wire/import/har.rs
+++ b/src/wire/import/har.rs
@@ -1,6 +1,6 @@
-//! HAR files, version 1.1 or 1.2: only what the mapping needs is read.
+//! HAR files of version 1.1 or 1.2. Only the fields that the mapping needs are read.
 
-use super::{Bad, Request};
+use super::{InvalidLine, Request};
 use chrono::DateTime;
 use serde::Deserialize;
 use serde_json::Value;
@@ -22,19 +22,19 @@
     started_date_time: String,
     #[serde(default)]
     time: f64,
-    request: Asked,
-    response: Option<Answered>,
+    request: HarRequest,
+    response: Option<HarResponse>,
 }
 
 #[derive(Deserialize)]
-struct Asked {
+struct HarRequest {
     method: String,
     url: String,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Answered {
+struct HarResponse {
     content: Option<Content>,
     body_size: Option<i64>,
 }
@@ -49,7 +49,7 @@
     let at = DateTime::parse_from_rfc3339(&entry.started_date_time);
     let at = at.map_err(|e| format!("startedDateTime {:?}: {e}", entry.started_date_time))?;
     let url = Url::parse(&entry.request.url).map_err(|e| format!("url {:?}: {e}", entry.request.url))?;
-    let size = |r: Answered| r.content.and_then(|c| c.size).or(r.body_size);
+    let size = |r: HarResponse| r.content.and_then(|c| c.size).or(r.body_size);
     Ok(Request {
         number,
         at,
@@ -57,25 +57,25 @@
         host: url.host_str().unwrap_or_default().to_string(),
         path: url.path().to_string(),
         took_ms: (entry.time >= 0.0).then_some(entry.time),
-        // -1 stands for a size that is not known.
+        // In HAR files, -1 means that the size is unknown.
         bytes: entry.response.and_then(size).and_then(|size| u64::try_from(size).ok()),
     })
 }
 
-/// Reads a file; entries that cannot be read are told by number.
+/// Parses a file; invalid entries are returned with their numbers.
 ///
 /// # Errors
-/// If the whole is no HAR.
-pub fn read(text: &[u8]) -> Result<(Vec<Request>, Vec<Bad>), String> {
-    // Some writers put a byte order mark first.
+/// If the file as a whole is not a HAR file.
+pub fn read(text: &[u8]) -> Result<(Vec<Request>, Vec<InvalidLine>), String> {
+    // Some programs write a byte order mark first.
     let text = text.strip_prefix(b"\xef\xbb\xbf").unwrap_or(text);
     let har: Har = serde_json::from_slice(text).map_err(|e| format!("not a HAR file: {e}"))?;
-    let (mut requests, mut bad) = (Vec::new(), Vec::new());
+    let (mut requests, mut invalid) = (Vec::new(), Vec::new());
     for (at, value) in har.log.entries.iter().enumerate() {
         match entry(at + 1, value) {
             Ok(request) => requests.push(request),
-            Err(why) => bad.push(Bad { number: at + 1, why }),
+            Err(why) => invalid.push(InvalidLine { number: at + 1, why }),
         }
     }
-    Ok((requests, bad))
+    Ok((requests, invalid))
 }
--- a/src/wire/import/mod.rs
+++ b/src/wire/import/mod.rs
@@ -1,16 +1,16 @@
-//! Sources of load: HAR files and access logs become a job mix, one JSON object a line.
+//! Converts HAR files and access logs to a job mix, one JSON object per line.
 //!
-//! The mapping, the same for all formats: each request is a job.
+//! Each request becomes one job. The mapping is the same for all formats:
 //!
-//! | of the job | from the request |
+//! | field of the job | value from the request |
 //! | --- | --- |
 //! | `atMs` | milliseconds since the earliest request |
 //! | class | `GET`, `HEAD` and `OPTIONS`: the stateless class; every other method: the keyed class |
 //! | key | keyed class only: a digest of the source's name, the line or entry, and the request |
-//! | service | host (HAR) and the first segment of the path; digits in it do not count |
+//! | service | host (HAR) and the first segment of the path, without its digits |
 //! | cores | by time taken: under 100 ms 0.25, under 300 ms 0.5, under 1 s 1, else 2; without a time 0.25 |
 //! | memory | by bytes answered: under 10 kB 0.5, under 100 kB 1.5, under 1 MB 2, else 3; without a size 0.5 |
-//! | deadline | one figure for all |
+//! | deadline | the same for all jobs |
 //! | description | method and path, without the query |
 
 pub mod access_log;
@@ -20,7 +20,7 @@
 use chrono::{DateTime, FixedOffset};
 use serde::{Deserialize, Serialize};
 
-/// A request that was made once.
+/// A request of a HAR file or an access log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Line of an access log or number of a HAR entry, from 1.
@@ -33,14 +33,14 @@
     pub bytes: Option<u64>,
 }
 
-/// A line or entry that could not be read.
+/// A line or entry that could not be parsed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bad {
+pub struct InvalidLine {
     pub number: usize,
     pub why: String,
 }
 
-/// What a line of a mix asks for.
+/// The work that a line of a mix requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
     /// One job.
@@ -53,15 +53,15 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(try_from = "MixLine", into = "MixLine")]
 pub struct MixJob {
-    /// Milliseconds since the first.
+    /// Milliseconds since the first line's.
     pub at_ms: u64,
-    /// The Idempotency-Key, in keyed classes and where a group has one.
+    /// The Idempotency-Key, for jobs of keyed classes and for groups that have one.
     pub key: Option<String>,
-    /// What it asks for.
+    /// The job or group.
     pub work: Work,
 }
 
-/// A line as it is written: a job or a group.
+/// A line in its JSON form; it has either a job or a group.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 struct MixLine {
@@ -96,7 +96,7 @@
     }
 }
 
-/// What the mapping does not find in a request.
+/// Parameters of the mapping that requests do not contain.
 #[derive(Clone, Debug)]
 pub struct Mapping {
     pub source: String,
@@ -110,7 +110,7 @@
 }
 
 impl Mapping {
-    /// The mix, in the order in which its jobs came.
+    /// The mix, ordered by time.
     pub fn mix(&self, requests: &[Request]) -> Vec<MixJob> {
         let Some(first) = requests.iter().map(|r| r.at).min() else { return Vec::new() };
         let mut mix: Vec<MixJob> = requests.iter().map(|r| self.job(first, r)).collect();
@@ -123,11 +123,11 @@
         let path = request.path.split(['?', '#']).next().unwrap_or_default();
         let segment = path.split('/').find(|s| !s.is_empty()).unwrap_or("root");
         let segment: String = segment.chars().filter(|c| !c.is_ascii_digit()).collect();
-        let words = format!("{}\n{}\n{} {}", self.source, request.number, request.method, request.path);
+        let identity = format!("{}\n{}\n{} {}", self.source, request.number, request.method, request.path);
         let service = if request.host.is_empty() { segment } else { format!("{}/{segment}", request.host) };
         MixJob {
             at_ms: (request.at - first).num_milliseconds().max(0) as u64,
-            key: (!stateless).then(|| format!("{:016x}", digest(words.as_bytes()))),
+            key: (!stateless).then(|| format!("{:016x}", digest(identity.as_bytes()))),
             work: Work::Job(NewJob {
                 class: if stateless { self.stateless.clone() } else { self.keyed.clone() },
                 service: if service.is_empty() { "root".into() } else { service },
@@ -140,14 +140,14 @@
     }
 }
 
-/// Reads a mix back; bad lines are told by number.
-pub fn read_mix(text: &str) -> (Vec<MixJob>, Vec<Bad>) {
-    let (mut mix, mut bad) = (Vec::new(), Vec::new());
+/// Parses a mix; invalid lines are returned with their numbers.
+pub fn read_mix(text: &str) -> (Vec<MixJob>, Vec<InvalidLine>) {
+    let (mut mix, mut invalid) = (Vec::new(), Vec::new());
     for (at, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
         match serde_json::from_str(line) {
             Ok(job) => mix.push(job),
-            Err(error) => bad.push(Bad { number: at + 1, why: error.to_string() }),
+            Err(error) => invalid.push(InvalidLine { number: at + 1, why: error.to_string() }),
         }
     }
-    (mix, bad)
+    (mix, invalid)
 }
--- a/src/wire/peers/mod.rs
+++ b/src/wire/peers/mod.rs
@@ -1,5 +1,6 @@
-//! Words between the planners of a fleet: datagrams of at most 256 bytes on loopback, from listed addresses and of this
-//! fleet alone. Anything else is dropped and counted. Whatever is lost is said again by who needs it, so nothing here is.
+//! Messages between the planners of a fleet: datagrams of at most 256 bytes on loopback, accepted only from
+//! listed addresses and from this fleet. All others are dropped and counted. Nothing is retransmitted here:
+//! whoever needs a message that was lost sends another one.
 
 pub mod words;
 
@@ -13,14 +14,15 @@
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::Receiver;
-use words::{Malformed, MOST_BYTES};
+use words::{Malformed, MAX_BYTES};
 
-/// Count. Words to others that wait to be sent, by planner; more are dropped, as a network would.
+/// Count. Capacity of the queue of outgoing batches of messages; further batches are dropped, as a network
+/// would.
 pub const QUEUE: usize = 4096;
-/// Count. Datagrams that are taken in one after the other before other tasks have their turn.
-const IN_A_ROW: usize = 32;
+/// Count. Datagrams that are processed before the task yields to others.
+const YIELD_AFTER: usize = 32;
 
-/// Says and hears words for as long as the program runs.
+/// Sends and receives peer messages for as long as the program runs.
 pub async fn serve(
     hub: Arc<Hub>,
     socket: UdpSocket,
@@ -28,34 +30,34 @@
     mut queue: Receiver<(Member, Vec<PeerMessage>)>,
 ) {
     let digest = settings.digest();
-    let me = settings.plan.place.0;
+    let own = settings.plan.place.0;
     let listed = settings.planners.iter().enumerate().map(|(at, (_, address))| (*address, at as Member));
     let listed: BTreeMap<SocketAddr, Member> = listed.collect();
-    let mut bytes = [0; MOST_BYTES + 1];
-    let mut in_a_row = 0;
+    let mut bytes = [0; MAX_BYTES + 1];
+    let mut processed = 0;
     loop {
         tokio::select! {
             biased;
-            said = queue.recv() => {
-                let Some((to, words)) = said else { return };
+            outgoing = queue.recv() => {
+                let Some((to, messages)) = outgoing else { return };
                 let Some((_, address)) = settings.planners.get(usize::from(to)) else { continue };
-                for letter in words::write(digest, me, life, &words) {
-                    // A full buffer or a planner that is not there: as good as lost on the way.
-                    if socket.try_send_to(&letter, *address).is_ok() {
+                for datagram in words::write(digest, own, life, &messages) {
+                    // If the buffer is full or the other planner is down, the datagram counts as lost.
+                    if socket.try_send_to(&datagram, *address).is_ok() {
                         let mut inner = hub.lock();
                         inner.peer_counts.sent.0 += 1;
-                        inner.peer_counts.sent.1 += letter.len() as u64;
+                        inner.peer_counts.sent.1 += datagram.len() as u64;
                     }
                 }
             }
-            came = socket.recv_from(&mut bytes) => {
-                // An error tells that a planner is not there.
-                if let Ok((length, from)) = came {
-                    take_in(&hub, digest, &bytes[..length], listed.get(&from).copied());
+            received = socket.recv_from(&mut bytes) => {
+                // An error means that a planner is down, as its port is closed.
+                if let Ok((length, from)) = received {
+                    receive(&hub, digest, &bytes[..length], listed.get(&from).copied());
                 }
-                in_a_row += 1;
-                if in_a_row >= IN_A_ROW {
-                    in_a_row = 0;
+                processed += 1;
+                if processed >= YIELD_AFTER {
+                    processed = 0;
                     tokio::task::yield_now().await;
                 }
             }
@@ -63,24 +65,27 @@
     }
 }
 
-fn take_in(hub: &Hub, digest: u64, bytes: &[u8], from: Option<Member>) {
+fn receive(hub: &Hub, digest: u64, bytes: &[u8], from: Option<Member>) {
     let mut inner = hub.lock();
     inner.peer_counts.received.0 += 1;
     inner.peer_counts.received.1 += bytes.len() as u64;
     match words::read(digest, bytes) {
-        Ok(letter) if from == Some(letter.from) => {
-            hub.apply_in(&mut inner, Input::Peer { from: (letter.from, letter.life), words: letter.words });
+        Ok(datagram) if from == Some(datagram.from) => {
+            hub.apply_in(
+                &mut inner,
+                Input::Peer { from: (datagram.from, datagram.life), words: datagram.words },
+            );
         }
         Ok(_) => inner.peer_counts.unlisted += 1,
         Err(why) => count_dropped(&mut inner.peer_counts, why),
     }
 }
 
-/// Counts a datagram that could not be read by why.
+/// Counts a dropped datagram by the reason.
 fn count_dropped(counts: &mut DatagramCounts, why: Malformed) {
     match why {
         Malformed::Check => counts.other += 1,
         Malformed::Version(_) => counts.version += 1,
-        Malformed::Length(_) | Malformed::Words => counts.unreadable += 1,
+        Malformed::Length(_) | Malformed::Messages => counts.unreadable += 1,
     }
 }
--- a/src/wire/peers/words.rs
+++ b/src/wire/peers/words.rs
@@ -1,8 +1,9 @@
-//! Words between planners as bytes, and back.
+//! Encodes peer messages as datagrams, and decodes them.
 //!
-//! `version:1 check:8 from:2 life:8`, then words, big-endian, each `kind:1` and its fields. The check is a keyed digest of
-//! all that follows it; its key comes from the fleet's name, list and terms, so that a datagram of another fleet, of another
-//! list, or one that was spoilt, is told from a good one. It keeps mistakes apart, and nobody out.
+//! A datagram is `version:1 check:8 from:2 life:8`, then messages, each `kind:1` and its fields, all
+//! big-endian. The check is a keyed digest of all bytes after it. Its key is derived from the fleet's name,
+//! planners, voters and terms, so that corrupt datagrams and those of another fleet or configuration are
+//! detected. It guards against mistakes, not against attackers.
 
 use crate::decide::budgets::{Ask, Grant, PeerMessage};
 use crate::decide::fleet::{Claim, Incarnation, Member, Vote};
@@ -14,14 +15,14 @@
 use winnow::error::{ContextError, ErrMode};
 use winnow::prelude::*;
 
-/// Bytes of a datagram at most.
-pub const MOST_BYTES: usize = 256;
-/// The version of these words; planners of another are not heard.
+/// Maximum length of a datagram in bytes.
+pub const MAX_BYTES: usize = 256;
+/// The version of the protocol; datagrams of another version are dropped.
 const VERSION: u8 = 1;
-/// Bytes before the first word.
-const HEAD: usize = 19;
-/// The second half of the check's key.
-const KEY: u64 = 0x6275_726c_686f_6f6b;
+/// Bytes before the first message.
+const HEADER_BYTES: usize = 19;
+/// The second half of the check's key; the first half is the fleet's digest.
+const CHECK_KEY: u64 = 0x6275_726c_686f_6f6b;
 
 mod kind {
     pub const CLAIM: u8 = 1;
@@ -40,40 +41,43 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Malformed {
     /// Too short or too long.
-    #[error("a datagram of {0} bytes")]
+    #[error("the datagram has {0} bytes, which is too short or too long")]
     Length(usize),
     /// Of another version.
-    #[error("version {0}")]
+    #[error("protocol version {0} is not supported")]
     Version(u8),
-    /// Of another fleet, list or terms, or spoilt.
-    #[error("of another fleet, or spoilt")]
+    /// Of another fleet, with other planners or terms, or corrupt.
+    #[error("the check does not match: the datagram is of another fleet, or corrupt")]
     Check,
-    /// Its words do not fill it.
-    #[error("words that cannot be read")]
-    Words,
+    /// Its messages cannot be decoded, or do not end with the datagram.
+    #[error("the messages cannot be decoded")]
+    Messages,
 }
 
-/// A datagram, read.
+/// A decoded datagram.
 #[derive(Debug, PartialEq)]
-pub struct Letter {
+pub struct Datagram {
+    /// The sender.
     pub from: Member,
+    /// The sender's incarnation.
     pub life: Incarnation,
+    /// The messages, in their order.
     pub words: Vec<PeerMessage>,
 }
 
 fn check(digest: u64, rest: &[u8]) -> u64 {
-    let mut hasher = SipHasher24::new_with_keys(digest, KEY);
+    let mut hasher = SipHasher24::new_with_keys(digest, CHECK_KEY);
     hasher.write(rest);
     hasher.finish()
 }
 
-/// Units and spans go in four bytes: what is larger than they tell is no less than they do.
-fn short(figure: u64) -> [u8; 4] {
+/// Units and spans are encoded in four bytes; larger values are sent as the largest one that fits.
+fn saturated_u32(figure: u64) -> [u8; 4] {
     u32::try_from(figure).unwrap_or(u32::MAX).to_be_bytes()
 }
 
-fn put(bytes: &mut Vec<u8>, word: &PeerMessage) {
-    match word {
+fn encode(bytes: &mut Vec<u8>, message: &PeerMessage) {
+    match message {
         PeerMessage::Claim(claim) => {
             bytes.push(kind::CLAIM);
             bytes.extend(claim.slot.to_be_bytes());
@@ -95,7 +99,7 @@
             bytes.extend(budget.to_be_bytes());
             bytes.extend(ask.number.to_be_bytes());
             for figure in [ask.wants, ask.holds, ask.total, ask.hold] {
-                bytes.extend(short(figure));
+                bytes.extend(saturated_u32(figure));
             }
         }
         PeerMessage::Grant(budget, grant) => {
@@ -104,40 +108,40 @@
             bytes.extend(grant.life.to_be_bytes());
             bytes.extend(grant.number.to_be_bytes());
             for figure in [grant.units, grant.span, grant.total, grant.hold] {
-                bytes.extend(short(figure));
+                bytes.extend(saturated_u32(figure));
             }
         }
     }
 }
 
-/// Words as datagrams, in their order, as many to each as fit.
-pub fn write(digest: u64, from: Member, life: Incarnation, words: &[PeerMessage]) -> Vec<Vec<u8>> {
-    let mut all = Vec::new();
+/// Encodes messages as datagrams, in their order, as many to each as fit.
+pub fn write(digest: u64, from: Member, life: Incarnation, messages: &[PeerMessage]) -> Vec<Vec<u8>> {
+    let mut datagrams = Vec::new();
     let mut body: Vec<u8> = Vec::new();
-    let mut done = |body: &mut Vec<u8>| {
+    let mut finish = |body: &mut Vec<u8>| {
         if body.is_empty() {
             return;
         }
         let rest = [&from.to_be_bytes()[..], &life.to_be_bytes(), body].concat();
-        all.push([&[VERSION][..], &check(digest, &rest).to_be_bytes(), &rest].concat());
+        datagrams.push([&[VERSION][..], &check(digest, &rest).to_be_bytes(), &rest].concat());
         body.clear();
     };
-    for word in words {
+    for message in messages {
         let before = body.len();
-        put(&mut body, word);
-        if HEAD + body.len() > MOST_BYTES {
+        encode(&mut body, message);
+        if HEADER_BYTES + body.len() > MAX_BYTES {
             let last = body.split_off(before);
-            done(&mut body);
+            finish(&mut body);
             body = last;
         }
     }
-    done(&mut body);
-    all
+    finish(&mut body);
+    datagrams
 }
 
 type Read<'a, T> = Result<T, ErrMode<ContextError>>;
 
-fn wide(input: &mut &[u8]) -> Read<'static, u64> {
+fn u32_as_u64(input: &mut &[u8]) -> Read<'static, u64> {
     be_u32.map(u64::from).parse_next(input)
 }
 
@@ -162,47 +166,50 @@
 fn ask(life: Incarnation) -> impl FnMut(&mut &[u8]) -> Read<'static, PeerMessage> {
     move |input: &mut &[u8]| {
         let (budget, number) = (be_u64, be_u32).parse_next(input)?;
-        let (wants, holds, total, hold) = (wide, wide, wide, wide).parse_next(input)?;
+        let (wants, holds, total, hold) =
+            (u32_as_u64, u32_as_u64, u32_as_u64, u32_as_u64).parse_next(input)?;
         Ok(PeerMessage::Ask(budget, Ask { life, number, wants, holds, total, hold }))
     }
 }
 
 fn grant(input: &mut &[u8]) -> Read<'static, PeerMessage> {
     let (budget, life, number) = (be_u64, be_u64, be_u32).parse_next(input)?;
-    let (units, span, total, hold) = (wide, wide, wide, wide).parse_next(input)?;
+    let (units, span, total, hold) = (u32_as_u64, u32_as_u64, u32_as_u64, u32_as_u64).parse_next(input)?;
     Ok(PeerMessage::Grant(budget, Grant { life, number, units, span, total, hold }))
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// Why it is to be dropped.
-pub fn read(digest: u64, bytes: &[u8]) -> Result<Letter, Malformed> {
-    if bytes.len() < HEAD || bytes.len() > MOST_BYTES {
+/// The reason to drop it.
+pub fn read(digest: u64, bytes: &[u8]) -> Result<Datagram, Malformed> {
+    if bytes.len() < HEADER_BYTES || bytes.len() > MAX_BYTES {
         return Err(Malformed::Length(bytes.len()));
     }
     if bytes[0] != VERSION {
         return Err(Malformed::Version(bytes[0]));
     }
-    let mut told = [0; 8];
-    told.copy_from_slice(&bytes[1..9]);
-    if u64::from_be_bytes(told) != check(digest, &bytes[9..]) {
+    let mut received = [0; 8];
+    received.copy_from_slice(&bytes[1..9]);
+    if u64::from_be_bytes(received) != check(digest, &bytes[9..]) {
         return Err(Malformed::Check);
     }
-    let wrong = |_| Malformed::Words;
+    let malformed = |_| Malformed::Messages;
     let mut input = &bytes[9..];
     let (from, life): (Member, Incarnation) =
-        (be_u16::<_, ErrMode<ContextError>>, be_u64).parse_next(&mut input).map_err(wrong)?;
-    let word = dispatch! {be_u8;
+        (be_u16::<_, ErrMode<ContextError>>, be_u64).parse_next(&mut input).map_err(malformed)?;
+    let message = dispatch! {be_u8;
         kind::CLAIM => claim,
         kind::VOTE => vote,
         kind::ASK => ask(life),
         kind::GRANT => grant,
         _ => fail::<_, PeerMessage, _>,
     };
-    let words =
-        (repeat(0.., word), empty).map(|(words, ())| words).parse(input).map_err(|_| Malformed::Words)?;
-    Ok(Letter { from, life, words })
+    let words = (repeat(0.., message), empty)
+        .map(|(words, ())| words)
+        .parse(input)
+        .map_err(|_| Malformed::Messages)?;
+    Ok(Datagram { from, life, words })
 }
 
 #[cfg(test)]
--- a/src/wire/peers/words/tests.rs
+++ b/src/wire/peers/words/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use rand::{Rng, SeedableRng};
 
-fn words() -> Vec<PeerMessage> {
+fn messages() -> Vec<PeerMessage> {
     let (life, number) = (u64::MAX - 7, 9);
     let claim = Claim { slot: 1023, number, keep: true };
     let vote = Vote { slot: 3, life, number, given: true, wanted: false, free: Some(0) };
@@ -15,38 +15,39 @@
     ]
 }
 
-/// Guards words against their way: what is written is read, in datagrams that keep their bound.
+/// Encoded messages decode to the same messages, and no datagram exceeds the maximum length.
 #[test]
-fn what_is_written_is_read() {
-    let many: Vec<PeerMessage> = (0..40).flat_map(|_| words()).collect();
-    let letters = write(1, 4, 5, &many);
-    assert!(letters.len() > 8 && letters.iter().all(|l| l.len() <= MOST_BYTES));
-    let read = letters.iter().flat_map(|l| read(1, l).expect("a letter").words);
+fn encoded_messages_decode_to_the_same() {
+    let many: Vec<PeerMessage> = (0..40).flat_map(|_| messages()).collect();
+    let datagrams = write(1, 4, 5, &many);
+    assert!(datagrams.len() > 8 && datagrams.iter().all(|d| d.len() <= MAX_BYTES));
+    let read = datagrams.iter().flat_map(|d| read(1, d).expect("a valid datagram").words);
     assert_eq!(read.collect::<Vec<_>>(), many);
-    let absurd = Ask { life: 5, number: 1, wants: u64::MAX, holds: 0, total: 1, hold: 0 };
-    let letter = read_one(&write(1, 4, 5, &[PeerMessage::Ask(1, absurd)])[0]);
-    assert_eq!(letter.words, [PeerMessage::Ask(1, Ask { wants: u64::from(u32::MAX), ..absurd })]);
+    let too_large = Ask { life: 5, number: 1, wants: u64::MAX, holds: 0, total: 1, hold: 0 };
+    let datagram = read_one(&write(1, 4, 5, &[PeerMessage::Ask(1, too_large)])[0]);
+    assert_eq!(datagram.words, [PeerMessage::Ask(1, Ask { wants: u64::from(u32::MAX), ..too_large })]);
 }
 
-fn read_one(bytes: &[u8]) -> Letter {
-    read(1, bytes).expect("a letter")
+fn read_one(bytes: &[u8]) -> Datagram {
+    read(1, bytes).expect("a valid datagram")
 }
 
-/// Guards shares against datagrams that are spoilt, cut off, of another fleet or version: none is taken, none panics.
+/// Datagrams that are corrupt, truncated, of another fleet or of another version are rejected, and none
+/// panics.
 #[test]
-fn nothing_but_whole_letters_of_this_fleet_is_read() {
-    let letter = write(1, 4, 5, &words()).remove(0);
-    assert_eq!(read(2, &letter), Err(Malformed::Check));
-    assert_eq!(read(1, &[&[9][..], &letter[1..]].concat()), Err(Malformed::Version(9)));
-    for cut in 0..letter.len() {
-        assert!(read(1, &letter[..cut]).is_err(), "{cut}");
+fn only_valid_datagrams_of_this_fleet_are_accepted() {
+    let datagram = write(1, 4, 5, &messages()).remove(0);
+    assert_eq!(read(2, &datagram), Err(Malformed::Check));
+    assert_eq!(read(1, &[&[9][..], &datagram[1..]].concat()), Err(Malformed::Version(9)));
+    for cut in 0..datagram.len() {
+        assert!(read(1, &datagram[..cut]).is_err(), "{cut}");
     }
-    for bit in 0..letter.len() * 8 {
-        let mut spoilt = letter.clone();
-        spoilt[bit / 8] ^= 1 << (bit % 8);
-        assert!(read(1, &spoilt).is_err(), "bit {bit}");
+    for bit in 0..datagram.len() * 8 {
+        let mut corrupt = datagram.clone();
+        corrupt[bit / 8] ^= 1 << (bit % 8);
+        assert!(read(1, &corrupt).is_err(), "bit {bit}");
     }
-    // Words behind a good check that are none.
+    // Random bytes after a valid check must not panic either.
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(3);
     for _ in 0..2_000 {
         let rest: Vec<u8> = (0..rng.gen_range(10..240)).map(|_| rng.gen_range(0..6)).collect();
--- a/src/wire/rest/answers.rs
+++ b/src/wire/rest/answers.rs
@@ -1,16 +1,17 @@
-//! Answers: JSON, and problems in the form of RFC 9457. Each way to end has a status of its own.
+//! Responses: JSON objects, and problem details (RFC 9457). Each way in which a job can end has its own
+//! status.
 
-use super::whole;
+use super::complete_body;
 use axum::extract::rejection::QueryRejection;
 use axum::extract::Query;
 use axum::http::{header, HeaderValue, StatusCode};
 use axum::response::{IntoResponse, Response};
 use serde_json::{json, Value};
 
-/// What a handler gives back.
+/// The result of a handler.
 pub type Answer = Result<Response, Problem>;
 
-/// A problem body, with when to come back where that helps.
+/// A problem response, with a retry time if retrying can help.
 #[derive(Debug)]
 pub struct Problem {
     status: u16,
@@ -18,7 +19,7 @@
     title: &'static str,
     detail: String,
     retry_after_s: Option<f64>,
-    /// The object that it is about, under its name.
+    /// The job or group that the problem is about, with the name of its field.
     about: Option<Box<(&'static str, Value)>>,
 }
 
@@ -27,30 +28,30 @@
         Problem { status, kind, title, detail: detail.into(), retry_after_s: None, about: None }
     }
 
-    /// No machine took the job; asking again is harmless.
+    /// No machine accepted the job; it is safe to submit it again.
     pub fn refused(detail: &str, retry_after_s: f64) -> Problem {
         let problem = Problem::new(429, "refused", "The job was refused", detail);
         Problem { retry_after_s: Some(retry_after_s), ..problem }
     }
 
-    /// A limit of the operators turned the job away; asking again is harmless.
+    /// The job was rejected by a limit of the operators; it is safe to submit it again.
     pub fn limited(detail: &str, retry_after_s: f64) -> Problem {
         let problem = Problem::new(429, "limited", "A limit turned the job away", detail);
         Problem { retry_after_s: Some(retry_after_s), ..problem }
     }
 
-    /// Nothing of the group runs; asking again is harmless.
+    /// No member of the group runs; it is safe to submit the group again.
     pub fn group_refused(detail: &str, retry_after_s: f64) -> Problem {
         let problem = Problem::new(429, "group-refused", "The group was refused", detail);
         Problem { retry_after_s: Some(retry_after_s), ..problem }
     }
 
-    /// Something of the group may have run, or may still.
+    /// Members of the group may have run, or may still run.
     pub fn group_failed(detail: &str) -> Problem {
         Problem::new(502, "group-failed", "The group failed", detail)
     }
 
-    /// Says which member of a group it is about.
+    /// Adds the index of the member that it is about.
     pub fn of_member(self, at: usize) -> Problem {
         Problem { detail: format!("member {at}: {}", self.detail), ..self }
     }
@@ -65,23 +66,23 @@
         Problem::new(502, "failed", "The job failed", detail)
     }
 
-    /// The job's time was up.
+    /// The job's deadline passed.
     pub fn deadline(detail: &str, retry_after_s: f64) -> Problem {
         let problem = Problem::new(504, "deadline-passed", "The deadline passed", detail);
         Problem { retry_after_s: Some(retry_after_s), ..problem }
     }
 
-    /// The job was cancelled or lost while it was waited for.
+    /// The job was cancelled or lost while the request waited for it.
     pub fn ended(detail: &str) -> Problem {
         Problem::new(409, "job-ended", "The job has ended", detail)
     }
 
-    /// The request cannot be understood.
+    /// The request is invalid.
     pub fn bad(detail: &str) -> Problem {
         Problem::new(400, "bad-request", "The request cannot be understood", detail)
     }
 
-    /// Nothing is there.
+    /// The resource does not exist.
     pub fn unknown(detail: &str) -> Problem {
         Problem::new(404, "not-found", "Not found", detail)
     }
@@ -95,27 +96,27 @@
         )
     }
 
-    /// The version has left the history.
+    /// The resource version is no longer in the history.
     pub fn gone(detail: &str) -> Problem {
         Problem::new(410, "version-gone", "The version is gone", detail)
     }
 
-    pub fn too_large(most: usize) -> Problem {
+    pub fn too_large(max_bytes: usize) -> Problem {
         Problem::new(
             413,
             "body-too-large",
             "The body is too large",
-            &format!("at most {most} bytes are taken"),
+            &format!("at most {max_bytes} bytes are taken"),
         )
     }
 
-    /// The key was used with another body.
+    /// The idempotency key was used with another body.
     pub fn key_reused() -> Problem {
         let detail = "the Idempotency-Key belongs to a request with another body";
         Problem::new(422, "key-reused", "The key belongs to another request", detail)
     }
 
-    /// The planner, or the one that owns the key, cannot take it now.
+    /// This planner, or the one that owns the key, cannot accept the request now.
     pub fn unavailable(detail: &str, retry_after_s: f64) -> Problem {
         let problem = Problem::new(503, "unavailable", "Unavailable", detail);
         Problem { retry_after_s: Some(retry_after_s), ..problem }
@@ -148,7 +149,7 @@
     fn into_response(self) -> Response {
         let mut response = respond(self.status, "application/problem+json", &self.body());
         if let Some(seconds) = self.retry_after_s {
-            // The header counts whole seconds; the body tells it finer.
+            // The header has a resolution of a second, the body of a millisecond.
             let seconds = HeaderValue::from(seconds.ceil().max(1.0) as u64);
             response.headers_mut().insert(header::RETRY_AFTER, seconds);
         }
@@ -156,19 +157,19 @@
     }
 }
 
-/// A JSON answer.
+/// A JSON response.
 pub fn json(status: u16, body: &Value) -> Response {
     respond(status, "application/json", body)
 }
 
 fn respond(status: u16, kind: &'static str, body: &Value) -> Response {
-    let mut response = Response::new(whole(format!("{body}\n")));
+    let mut response = Response::new(complete_body(format!("{body}\n")));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
     response
 }
 
-/// A query that was read, or the problem with it.
-pub fn query<T>(read: Result<Query<T>, QueryRejection>) -> Result<T, Problem> {
-    read.map(|Query(query)| query).map_err(|e| Problem::bad(&e.body_text()))
+/// The parsed query, or a problem if it is invalid.
+pub fn query<T>(parsed: Result<Query<T>, QueryRejection>) -> Result<T, Problem> {
+    parsed.map(|Query(query)| query).map_err(|e| Problem::bad(&e.body_text()))
 }
--- a/src/wire/rest/client.rs
+++ b/src/wire/rest/client.rs
@@ -9,10 +9,10 @@
 use tokio::net::TcpStream;
 use url::{Host, Url};
 
-/// Bytes of an answer's body.
-const MOST_BYTES: usize = 16 * 1024 * 1024;
+/// Bytes. The largest body of a response.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// A request.
+/// A request to a planner.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub method: &'static str,
@@ -21,7 +21,7 @@
     pub body: Option<Vec<u8>>,
 }
 
-/// An answer.
+/// A planner's response.
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
@@ -29,7 +29,7 @@
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// Why a request got no response.
 #[derive(Debug, Error)]
 pub enum CallError {
     #[error("{0}")]
@@ -40,28 +40,28 @@
     Http(#[from] hyper::Error),
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    #[error("the answer breaks off: {0}")]
+    #[error("cannot read the response body: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// The address of a planner's URL, which must be on loopback.
+/// Parses a planner's URL, which must be on loopback, and returns its address with it.
 pub fn loopback(url: &str) -> Result<(String, Url), String> {
     let parsed = Url::parse(url).map_err(|e| format!("{url:?}: {e}"))?;
-    let near = match parsed.host() {
+    let is_loopback = match parsed.host() {
         Some(Host::Ipv4(ip)) => ip.is_loopback(),
         Some(Host::Ipv6(ip)) => ip.is_loopback(),
         Some(Host::Domain(name)) => name == "localhost",
         None => false,
     };
-    if parsed.scheme() != "http" || !near {
-        return Err(format!("{url:?}: only http on a loopback address is spoken"));
+    if parsed.scheme() != "http" || !is_loopback {
+        return Err(format!("{url:?}: only http URLs with a loopback address are allowed"));
     }
     let host = parsed.host_str().unwrap_or_default();
     let address = format!("{host}:{}", parsed.port_or_known_default().unwrap_or(80));
     Ok((address, parsed))
 }
 
-/// Makes one request on a connection of its own.
+/// Sends a request on a new connection.
 pub async fn call(call: Call) -> Result<Reply, CallError> {
     let (address, url) = loopback(&call.url).map_err(CallError::Address)?;
     let stream = TcpStream::connect(&address).await?;
@@ -79,8 +79,11 @@
     let response = sender.send_request(request).await?;
     let status = response.status().as_u16();
     let location = response.headers().get(header::LOCATION).and_then(|l| l.to_str().ok()).map(str::to_string);
-    let body =
-        Limited::new(response.into_body(), MOST_BYTES).collect().await.map_err(CallError::Body)?.to_bytes();
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
+        .collect()
+        .await
+        .map_err(CallError::Body)?
+        .to_bytes();
     connection.abort();
     Ok(Reply { status, location, body })
 }
--- a/src/wire/rest/fleet.rs
+++ b/src/wire/rest/fleet.rs
@@ -1,21 +1,24 @@
-//! Which planner of a fleet owns a key: rendezvous hashing over the configured set.
+//! The planner that owns an idempotency key: rendezvous hashing over the configured planners.
 
 use super::client::{self, Call};
 use super::objects::digest;
 use std::time::Duration;
 
-/// The owner of a key must say that it is well within this time.
-const WELL: Duration = Duration::from_millis(500);
+/// The time within which the owner of a key must answer a health check.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where a keyed job belongs.
+/// The planner that owns the key of a job.
 #[derive(Debug, PartialEq)]
-pub enum Way {
-    Here,
-    There(String),
+pub enum KeyOwner {
+    /// This planner.
+    This,
+    /// Another planner, by its URL.
+    Other(String),
+    /// Another planner that does not answer the health check, by its URL.
     Unreachable(String),
 }
 
-/// The planners that share the keys.
+/// The planners among which the keys are divided.
 pub struct Fleet {
     planners: Vec<String>,
     own: String,
@@ -30,21 +33,23 @@
         Fleet { planners, own: own.trim_end_matches('/').to_string() }
     }
 
-    /// The one planner that owns a key: the highest draw, the same at every planner.
+    /// The planner that owns a key: the one with the highest hash, which is the same at every planner.
     pub fn owner(&self, class: &str, key: &str) -> Option<&str> {
-        let draw = |planner: &str| digest(format!("{planner}\n{class}\n{key}").as_bytes());
-        self.planners.iter().map(String::as_str).max_by_key(|planner| draw(planner))
+        let hash = |planner: &str| digest(format!("{planner}\n{class}\n{key}").as_bytes());
+        self.planners.iter().map(String::as_str).max_by_key(|planner| hash(planner))
     }
 
-    /// Where the job goes. A key never moves to another planner because its owner is down: two owners of one
-    /// key might have two attempts out.
-    pub async fn way(&self, class: &str, key: &str) -> Way {
-        let Some(owner) = self.owner(class, key).filter(|owner| *owner != self.own) else { return Way::Here };
-        let asked =
+    /// Finds the planner to which a keyed job belongs. A key never moves to another planner because its owner
+    /// is down: two planners that both own it could each send an attempt of the same job.
+    pub async fn locate(&self, class: &str, key: &str) -> KeyOwner {
+        let Some(owner) = self.owner(class, key).filter(|owner| *owner != self.own) else {
+            return KeyOwner::This;
+        };
+        let health_check =
             client::call(Call { method: "GET", url: format!("{owner}/healthz"), key: None, body: None });
-        match tokio::time::timeout(WELL, asked).await {
-            Ok(Ok(reply)) if reply.status == 200 => Way::There(owner.to_string()),
-            _ => Way::Unreachable(owner.to_string()),
+        match tokio::time::timeout(HEALTH_CHECK_TIMEOUT, health_check).await {
+            Ok(Ok(reply)) if reply.status == 200 => KeyOwner::Other(owner.to_string()),
+            _ => KeyOwner::Unreachable(owner.to_string()),
         }
     }
 }
--- a/src/wire/rest/groups.rs
+++ b/src/wire/rest/groups.rs
@@ -1,9 +1,9 @@
-//! Submit, get and end groups.
+//! Requests that submit, get and cancel groups.
 
 use super::answers::{self, Answer, Problem};
-use super::jobs::{self, How};
+use super::jobs::{self, SubmitQuery};
 use super::objects::{self, NewJob};
-use super::Front;
+use super::Api;
 use crate::decide::groups::{self, OnLoss};
 use crate::placer::*;
 use crate::state::{GroupId, GroupSubmission, GroupView, Input, Spec};
@@ -16,23 +16,23 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Seconds. When to come back where all places for groups are taken.
+/// Seconds. The retry time if the planner has as many groups or jobs as it may, or stops.
 const BUSY_RETRY_S: f64 = 1.0;
 
-/// A group that a client asks for.
+/// A group as a client submits it.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct NewGroup {
-    /// Its members, in the order in which they are told of.
+    /// Its members; responses list them in this order.
     pub members: Vec<NewMember>,
-    /// Milliseconds in which it must stand.
+    /// Milliseconds within which all of it must be placed.
     pub deadline_ms: u64,
-    /// What follows when a member is lost after that: `keep`, `cut` or `replace`.
+    /// What happens if a member is lost after that: `keep`, `cut` or `replace`.
     #[serde(default)]
     pub on_loss: Loss,
 }
 
-/// A member that a client asks for.
+/// A member of a group as a client submits it.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct NewMember {
@@ -40,14 +40,14 @@
     pub class: String,
     /// The service whose program it runs.
     pub service: String,
-    /// Cores that it asks for.
+    /// Cores that it requests.
     pub cores: f64,
-    /// Memory that it asks for.
+    /// Memory that it requests.
     pub memory: f64,
-    /// What the machine is told besides.
+    /// Text that is passed to the machine with the task.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub description: String,
-    /// Its key, in keyed classes; the group's with its number where absent.
+    /// Its key, in keyed classes; by default the group's key followed by the member's index.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
@@ -56,12 +56,12 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
 pub enum Loss {
-    /// The others go on.
+    /// The other members go on.
     #[default]
     Keep,
-    /// The others are cut.
+    /// The other members are ended.
     Cut,
-    /// The lost one is placed again.
+    /// The lost member is placed again.
     Replace,
 }
 
@@ -79,34 +79,36 @@
 }
 
 pub(super) async fn submit(
-    State(front): State<Arc<Front>>,
-    how: Result<Query<How>, QueryRejection>,
+    State(api): State<Arc<Api>>,
+    query: Result<Query<SubmitQuery>, QueryRejection>,
     headers: HeaderMap,
     body: Body,
 ) -> Answer {
-    let how = answers::query(how)?;
-    let body = jobs::whole_body(&front, body).await?;
+    let query = answers::query(query)?;
+    let body = jobs::whole_body(&api, body).await?;
     let new: NewGroup = serde_json::from_slice(&body).map_err(|e| Problem::bad(&e.to_string()))?;
     let key = jobs::key_of(&headers)?;
     let keyless = key.is_none();
-    let (group, joined) = enter(&front, &new, key)?;
-    let view = match how.wait {
+    let (group, joined) = submit_or_join(&api, &new, key)?;
+    let view = match query.wait {
         true => {
-            // Who waits without a key can never ask for this group again: where it is gone, so is the group.
-            let owner = Waits { front: front.clone(), group, alone: keyless };
-            let view = settled(&front, group).await;
-            owner.was_told();
+            // A client without a key cannot find this group again, so the group is cancelled if it
+            // disconnects.
+            let guard = CancelOnDisconnect { api: api.clone(), group, armed: keyless };
+            let view = wait_until_answered(&api, group).await;
+            guard.disarm();
             view
         }
-        false => front.hub.lock().core.group_view_of(group),
+        false => api.hub.lock().core.group_view_of(group),
     };
     let view = view.ok_or_else(|| Problem::unknown("the group was forgotten while it was waited for"))?;
-    answer(&front, &view, if joined { 200 } else { 201 })
+    answer(&api, &view, if joined { 200 } else { 201 })
 }
 
-fn enter(front: &Front, new: &NewGroup, key: Option<String>) -> Result<(GroupId, bool), Problem> {
+/// Submits the group, or joins the group that already has its key, under one lock.
+fn submit_or_join(api: &Api, new: &NewGroup, key: Option<String>) -> Result<(GroupId, bool), Problem> {
     let digest = objects::digest(json!(new).to_string().as_bytes());
-    let mut inner = front.hub.lock();
+    let mut inner = api.hub.lock();
     let settings = inner.core.group_settings();
     let settings = settings
         .ok_or_else(|| Problem::unknown("groups are off: the operators' file has no section \"groups\""))?;
@@ -114,7 +116,7 @@
         if known != digest {
             return Err(Problem::key_reused());
         }
-        // A group that was refused may be asked for again; one that failed may have run, and stays so.
+        // A refused group may be submitted again. A failed one may have run, so its result stays.
         if !matches!(inner.core.group_answer(id), Some(groups::Answer::Refused { .. })) {
             return Ok((id, true));
         }
@@ -122,19 +124,19 @@
     if new.members.is_empty() {
         return Err(Problem::bad("a group has at least one member"));
     }
-    let now = front.hub.now();
+    let now = api.hub.now();
     let deadline = now + new.deadline_ms as f64 / 1e3;
     let mut members = Vec::new();
     let mut keys = std::collections::BTreeSet::new();
     for (at, member) in new.members.iter().enumerate() {
         let job = member.job(new.deadline_ms);
-        let wrong = |problem: Problem| problem.of_member(at);
+        let with_index = |problem: Problem| problem.of_member(at);
         let own = member.key.clone().or_else(|| key.as_ref().map(|key| format!("{key}/{at}")));
         let keyed = inner.core.vocabulary().class(&job.class).is_some_and(|class| {
             matches!(inner.core.settings().classes[class].idempotency, Idempotency::Keyed { .. })
         });
         let own = own.filter(|_| keyed);
-        let class = jobs::check(&mut inner, &job, own.as_deref()).map_err(wrong)?;
+        let class = jobs::check(&mut inner, &job, own.as_deref()).map_err(with_index)?;
         if own.as_ref().is_some_and(|own| !keys.insert((class, own.clone()))) {
             return Err(Problem::bad("two members have one key").of_member(at));
         }
@@ -183,39 +185,40 @@
         Loss::Replace => OnLoss::Replace,
     };
     let (policy, share) = (figures.policy(on_loss), figures.share);
-    let ask = GroupSubmission { group, members, deadline, policy, share, key, digest };
-    front.hub.apply_in(&mut inner, Input::SubmitGroup(ask));
+    let submission = GroupSubmission { group, members, deadline, policy, share, key, digest };
+    api.hub.apply_in(&mut inner, Input::SubmitGroup(submission));
     Ok((group, false))
 }
 
-/// The only one who waits for a group; gives it up where it leaves before the answer.
-struct Waits {
-    front: Arc<Front>,
+/// Cancels a group when its client disconnects before the answer: dropping the request's future drops this
+/// guard.
+struct CancelOnDisconnect {
+    api: Arc<Api>,
     group: GroupId,
-    alone: bool,
+    armed: bool,
 }
 
-impl Waits {
-    fn was_told(mut self) {
-        self.alone = false;
+impl CancelOnDisconnect {
+    fn disarm(mut self) {
+        self.armed = false;
     }
 }
 
-impl Drop for Waits {
+impl Drop for CancelOnDisconnect {
     fn drop(&mut self) {
-        if self.alone {
-            self.front.hub.apply(Input::CancelGroup { group: self.group });
+        if self.armed {
+            self.api.hub.apply(Input::CancelGroup { group: self.group });
         }
     }
 }
 
 /// Waits until the group has its final answer.
-async fn settled(front: &Front, group: GroupId) -> Option<GroupView> {
-    let mut changes = front.hub.changes.subscribe();
-    // One that was forgotten while it was waited for had its answer, and has left nothing to show.
+async fn wait_until_answered(api: &Api, group: GroupId) -> Option<GroupView> {
+    let mut changes = api.hub.changes.subscribe();
+    // A group that was removed meanwhile had its answer, but has no view any more.
     loop {
         {
-            let inner = front.hub.lock();
+            let inner = api.hub.lock();
             if inner.core.group_answer(group).is_some() {
                 return inner.core.group_view_of(group);
             }
@@ -224,12 +227,12 @@
     }
 }
 
-/// A group's standing as an answer.
-fn answer(front: &Front, view: &GroupView, fresh: u16) -> Answer {
-    let object = objects::group(front, view);
+/// The response for a group's answer.
+fn answer(api: &Api, view: &GroupView, created_status: u16) -> Answer {
+    let object = objects::group(api, view);
     let status = match view.answer {
         None => 202,
-        Some(groups::Answer::Placed) => fresh,
+        Some(groups::Answer::Placed) => created_status,
         Some(groups::Answer::Refused { why, retry_in_s }) => {
             return Err(Problem::group_refused(objects::given_up(why), retry_in_s).about_group(object));
         }
@@ -238,8 +241,8 @@
         }
     };
     let mut response = answers::json(status, &object);
-    if let Ok(place) = HeaderValue::from_str(&format!("/v1/groups/{:016x}", view.id.0)) {
-        response.headers_mut().insert(header::LOCATION, place);
+    if let Ok(location) = HeaderValue::from_str(&format!("/v1/groups/{:016x}", view.id.0)) {
+        response.headers_mut().insert(header::LOCATION, location);
     }
     Ok(response)
 }
@@ -253,16 +256,16 @@
     Problem::unknown(&format!("no group is called {id:?}"))
 }
 
-pub(super) async fn get(State(front): State<Arc<Front>>, Path(id): Path<String>) -> Answer {
-    let view = front.hub.lock().core.group_view_of(parse(&id)?);
-    Ok(answers::json(200, &objects::group(&front, &view.ok_or_else(|| unknown(&id))?)))
+pub(super) async fn get(State(api): State<Arc<Api>>, Path(id): Path<String>) -> Answer {
+    let view = api.hub.lock().core.group_view_of(parse(&id)?);
+    Ok(answers::json(200, &objects::group(&api, &view.ok_or_else(|| unknown(&id))?)))
 }
 
-pub(super) async fn cancel(State(front): State<Arc<Front>>, Path(id): Path<String>) -> Answer {
+pub(super) async fn cancel(State(api): State<Arc<Api>>, Path(id): Path<String>) -> Answer {
     let group = parse(&id)?;
-    let mut inner = front.hub.lock();
+    let mut inner = api.hub.lock();
     inner.core.group_view_of(group).ok_or_else(|| unknown(&id))?;
-    front.hub.apply_in(&mut inner, Input::CancelGroup { group });
+    api.hub.apply_in(&mut inner, Input::CancelGroup { group });
     let view = inner.core.group_view_of(group).ok_or_else(|| unknown(&id))?;
-    Ok(answers::json(200, &objects::group(&front, &view)))
+    Ok(answers::json(200, &objects::group(&api, &view)))
 }
--- a/src/wire/rest/jobs.rs
+++ b/src/wire/rest/jobs.rs
@@ -1,9 +1,9 @@
-//! Submit, get and cancel jobs.
+//! Requests that submit, get and cancel jobs.
 
 use super::answers::{self, Answer, Problem};
-use super::fleet::Way;
+use super::fleet::KeyOwner;
 use super::objects::{self, NewJob};
-use super::Front;
+use super::Api;
 use crate::placer::*;
 use crate::state::{Input, JobSubmission, JobView, Owner, Phase, Refusal, Spec};
 use crate::wire::hub::Inner;
@@ -17,20 +17,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A body that has not come by then is not waited for.
-const BODY: Duration = Duration::from_secs(10);
-/// Bytes of a key.
-const MOST_KEY: usize = 255;
-/// Milliseconds. The longest deadline.
-const MOST_DEADLINE_MS: u64 = 3_600_000;
-/// Seconds. When to come back where the planner holds all the jobs that it may.
+/// The time within which a request's body must arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes. The longest idempotency key.
+const MAX_KEY_BYTES: usize = 255;
+/// Milliseconds. The longest time to a deadline.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
+/// Seconds. The retry time if the planner has as many jobs as it may, stops, or cannot reach a key's owner.
 const BUSY_RETRY_S: f64 = 1.0;
-/// The cause by which a machine is told that an owner ended its task.
+/// The cause code in the platform protocol that tells a machine that the owner ended the task.
 const ENDED_BY_OWNER: u8 = 16;
 
 #[derive(Deserialize)]
-pub(super) struct How {
-    /// Whether the answer waits until the job stands or is turned away.
+pub(super) struct SubmitQuery {
+    /// Whether the response waits until the job is placed or has ended.
     #[serde(default = "yes")]
     pub wait: bool,
 }
@@ -40,52 +40,53 @@
 }
 
 pub(super) async fn submit(
-    State(front): State<Arc<Front>>,
-    how: Result<Query<How>, QueryRejection>,
+    State(api): State<Arc<Api>>,
+    query: Result<Query<SubmitQuery>, QueryRejection>,
     uri: Uri,
     headers: HeaderMap,
     body: Body,
 ) -> Answer {
-    let how = answers::query(how)?;
-    let body = whole_body(&front, body).await?;
+    let query = answers::query(query)?;
+    let body = whole_body(&api, body).await?;
     let new: NewJob = serde_json::from_slice(&body).map_err(|e| Problem::bad(&e.to_string()))?;
     let key = key_of(&headers)?;
-    let class = check(&mut front.hub.lock(), &new, key.as_deref())?;
+    let class = check(&mut api.hub.lock(), &new, key.as_deref())?;
     if let Some(key) = &key {
-        match front.fleet.way(&new.class, key).await {
-            Way::Here => {}
-            Way::There(planner) => return Ok(redirect(&planner, &uri)),
-            Way::Unreachable(planner) => {
+        match api.fleet.locate(&new.class, key).await {
+            KeyOwner::This => {}
+            KeyOwner::Other(planner) => return Ok(redirect(&planner, &uri)),
+            KeyOwner::Unreachable(planner) => {
                 let detail = format!("the key belongs to {planner}, which cannot be reached");
                 return Err(Problem::unavailable(&detail, BUSY_RETRY_S));
             }
         }
     }
-    let (job, joined) = enter(&front, &new, class, key)?;
-    let view = if how.wait { settled(&front, job).await } else { front.hub.lock().core.job_view_of(job) };
+    let (job, joined) = submit_or_join(&api, &new, class, key)?;
+    let view =
+        if query.wait { wait_until_answered(&api, job).await } else { api.hub.lock().core.job_view_of(job) };
     let view = view.ok_or_else(|| Problem::unknown("the job was forgotten while it was waited for"))?;
-    answer(&front, &view, if joined { 200 } else { 201 })
+    answer(&api, &view, if joined { 200 } else { 201 })
 }
 
-/// A request's body, within its bounds.
-pub(super) async fn whole_body(front: &Front, body: Body) -> Result<axum::body::Bytes, Problem> {
-    let most = front.options.max_body_bytes;
-    let body = tokio::time::timeout(BODY, axum::body::to_bytes(body, most)).await;
+/// Reads a request's body, within the bounds on its size and time.
+pub(super) async fn whole_body(api: &Api, body: Body) -> Result<axum::body::Bytes, Problem> {
+    let max_bytes = api.options.max_body_bytes;
+    let body = tokio::time::timeout(BODY_TIMEOUT, axum::body::to_bytes(body, max_bytes)).await;
     let body = body.map_err(|_| Problem::bad("the body did not come in time"))?;
-    body.map_err(|_| Problem::too_large(most))
+    body.map_err(|_| Problem::too_large(max_bytes))
 }
 
 pub(super) fn key_of(headers: &HeaderMap) -> Result<Option<String>, Problem> {
     let Some(value) = headers.get("idempotency-key") else { return Ok(None) };
     let key = value.to_str().unwrap_or_default().trim();
     let key = key.strip_prefix('"').and_then(|k| k.strip_suffix('"')).unwrap_or(key);
-    if key.is_empty() || key.len() > MOST_KEY {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
         return Err(Problem::bad("the Idempotency-Key must be 1 to 255 visible characters"));
     }
     Ok(Some(key.to_string()))
 }
 
-/// Tells whether the job can be asked for at all, and gives the index of its class.
+/// Checks that the job is valid, and returns the index of its class.
 pub(super) fn check(inner: &mut Inner, new: &NewJob, key: Option<&str>) -> Result<usize, Problem> {
     let class = inner.core.vocabulary().class(&new.class);
     let class = class.ok_or_else(|| Problem::bad(&format!("there is no class {:?}", new.class)))?;
@@ -101,29 +102,31 @@
         ),
         (!(amount(new.cores) && amount(new.memory)), "cores and memory must be above 0"),
         (new.service.is_empty(), "service must not be empty"),
-        (!(1..=MOST_DEADLINE_MS).contains(&new.deadline_ms), "deadlineMs must be 1 to 3600000"),
+        (!(1..=MAX_DEADLINE_MS).contains(&new.deadline_ms), "deadlineMs must be 1 to 3600000"),
     ];
     match faults.iter().find(|(wrong, _)| *wrong) {
-        Some((_, what)) => Err(Problem::bad(what)),
+        Some((_, detail)) => Err(Problem::bad(detail)),
         None => Ok(class),
     }
 }
 
-/// Hands the job in, or joins the one that has its key. Both under one lock: of two retries one comes first.
-fn enter(
-    front: &Front,
+/// Submits the job, or joins the job that already has its key. Both happen under one lock, so that of two
+/// concurrent requests with the same key only one submits.
+fn submit_or_join(
+    api: &Api,
     new: &NewJob,
     class: usize,
     key: Option<String>,
 ) -> Result<(RequestId, bool), Problem> {
-    let mut inner = front.hub.lock();
+    let mut inner = api.hub.lock();
     let digest = new.digest();
-    let before = key.as_deref().and_then(|key| inner.core.keyed(&new.class, key));
-    if let Some((id, job)) = before.and_then(|id| Some((id, inner.core.job(id)?))) {
+    let known = key.as_deref().and_then(|key| inner.core.keyed(&new.class, key));
+    if let Some((id, job)) = known.and_then(|id| Some((id, inner.core.job(id)?))) {
         if job.spec.digest != digest {
             return Err(Problem::key_reused());
         }
-        // A job that was turned away may be asked for again; one that failed may have run, and stays so.
+        // A job that ended before it ran may be submitted again. A failed one may have run, so its result
+        // stays.
         if !matches!(job.phase, Phase::Refused | Phase::DeadlinePassed | Phase::Cancelled | Phase::Lost) {
             return Ok((id, true));
         }
@@ -131,7 +134,7 @@
     if inner.draining {
         return Err(Problem::unavailable("the planner is stopping", BUSY_RETRY_S));
     }
-    if inner.core.is_full() || inner.core.open_rest_jobs() >= front.options.max_open_jobs {
+    if inner.core.is_full() || inner.core.open_rest_jobs() >= api.options.max_open_jobs {
         return Err(Problem::unavailable("the planner holds all the jobs that it may", BUSY_RETRY_S));
     }
     let id = loop {
@@ -145,7 +148,7 @@
         tenant: None,
         service: new.service_id(),
         room: Room { cores: new.cores, memory: new.memory },
-        deadline: front.hub.now() + new.deadline_ms as f64 / 1e3,
+        deadline: api.hub.now() + new.deadline_ms as f64 / 1e3,
         expected_runtime_s: None,
         limits: TaskLimits::default(),
     };
@@ -155,9 +158,9 @@
     if !node::fits(id, &spec) {
         return Err(Problem::bad("the description is too long for a machine's message"));
     }
-    let ask = JobSubmission { job: id, owner: Owner::Rest, spec: Arc::new(spec), task };
+    let submission = JobSubmission { job: id, owner: Owner::Rest, spec: Arc::new(spec), task };
     inner.turned_away = None;
-    front.hub.apply_in(&mut inner, Input::Submit(ask));
+    api.hub.apply_in(&mut inner, Input::Submit(submission));
     match inner.turned_away.take() {
         None => Ok((id, false)),
         Some((Refusal::Limit(why), retry_in_s)) => Err(Problem::limited(objects::limit(why), retry_in_s)),
@@ -168,10 +171,10 @@
 }
 
 /// Waits until the job has its final answer.
-async fn settled(front: &Front, job: RequestId) -> Option<JobView> {
-    let mut changes = front.hub.changes.subscribe();
+async fn wait_until_answered(api: &Api, job: RequestId) -> Option<JobView> {
+    let mut changes = api.hub.changes.subscribe();
     loop {
-        let view = front.hub.lock().core.job_view_of(job)?;
+        let view = api.hub.lock().core.job_view_of(job)?;
         if view.phase != Phase::Pending {
             return Some(view);
         }
@@ -179,16 +182,16 @@
     }
 }
 
-/// A job's standing as an answer: every way to end has a status of its own.
-fn answer(front: &Front, view: &JobView, fresh: u16) -> Answer {
-    let object = objects::job(front, view);
-    let of_limit = view.turned.map(|turned| objects::limit(turned.why));
-    let detail = of_limit.or(objects::reason(view.last)).unwrap_or("no machine could take it");
+/// The response for a job's phase: every way in which a job can end has its own status.
+fn answer(api: &Api, view: &JobView, created_status: u16) -> Answer {
+    let object = objects::job(api, view);
+    let limit_reason = view.turned.map(|turned| objects::limit(turned.why));
+    let detail = limit_reason.or(objects::reason(view.last)).unwrap_or("no machine could take it");
     let status = match view.phase {
         Phase::Pending => 202,
-        Phase::Running => fresh,
+        Phase::Running => created_status,
         Phase::Succeeded => 200,
-        Phase::Refused if of_limit.is_some() => {
+        Phase::Refused if limit_reason.is_some() => {
             return Err(Problem::limited(detail, view.retry_in_s).about(object))
         }
         Phase::Refused => return Err(Problem::refused(detail, view.retry_in_s).about(object)),
@@ -197,17 +200,17 @@
         Phase::Cancelled | Phase::Lost => return Err(Problem::ended(detail).about(object)),
     };
     let mut response = answers::json(status, &object);
-    if let Ok(place) = HeaderValue::from_str(&format!("/v1/jobs/{}", objects::id(view.id))) {
-        response.headers_mut().insert(header::LOCATION, place);
+    if let Ok(location) = HeaderValue::from_str(&format!("/v1/jobs/{}", objects::id(view.id))) {
+        response.headers_mut().insert(header::LOCATION, location);
     }
     Ok(response)
 }
 
 fn redirect(planner: &str, uri: &Uri) -> axum::response::Response {
-    let place = format!("{planner}{}", uri.path_and_query().map_or("/v1/jobs", |p| p.as_str()));
+    let location = format!("{planner}{}", uri.path_and_query().map_or("/v1/jobs", |p| p.as_str()));
     let mut response = answers::json(307, &json!({"planner": planner}));
-    if let Ok(place) = HeaderValue::from_str(&place) {
-        response.headers_mut().insert(header::LOCATION, place);
+    if let Ok(location) = HeaderValue::from_str(&location) {
+        response.headers_mut().insert(header::LOCATION, location);
     }
     response
 }
@@ -217,21 +220,21 @@
     number.map(RequestId).ok_or_else(|| Problem::unknown(&format!("no job is called {id:?}")))
 }
 
-pub(super) async fn get(State(front): State<Arc<Front>>, Path(id): Path<String>) -> Answer {
-    let view = front.hub.lock().core.job_view_of(parse(&id)?);
+pub(super) async fn get(State(api): State<Arc<Api>>, Path(id): Path<String>) -> Answer {
+    let view = api.hub.lock().core.job_view_of(parse(&id)?);
     let view = view.ok_or_else(|| Problem::unknown(&format!("no job is called {id:?}")))?;
-    Ok(answers::json(200, &objects::job(&front, &view)))
+    Ok(answers::json(200, &objects::job(&api, &view)))
 }
 
-pub(super) async fn cancel(State(front): State<Arc<Front>>, Path(id): Path<String>) -> Answer {
+pub(super) async fn cancel(State(api): State<Arc<Api>>, Path(id): Path<String>) -> Answer {
     let job = parse(&id)?;
-    let mut inner = front.hub.lock();
-    let ours = inner.core.job(job).filter(|j| j.owner == Owner::Rest);
-    if ours.is_none() {
+    let mut inner = api.hub.lock();
+    let own_job = inner.core.job(job).filter(|j| j.owner == Owner::Rest);
+    if own_job.is_none() {
         return Err(Problem::unknown(&format!("no job of this front is called {id:?}")));
     }
-    front.hub.apply_in(&mut inner, Input::Cancel { job, cause: ENDED_BY_OWNER });
+    api.hub.apply_in(&mut inner, Input::Cancel { job, cause: ENDED_BY_OWNER });
     let view = inner.core.job_view_of(job);
     let view = view.ok_or_else(|| Problem::unknown(&format!("no job is called {id:?}")))?;
-    Ok(answers::json(200, &objects::job(&front, &view)))
+    Ok(answers::json(200, &objects::job(&api, &view)))
 }
--- a/src/wire/rest/limits.rs
+++ b/src/wire/rest/limits.rs
@@ -1,8 +1,8 @@
-//! The operators' limits as they are in force.
+//! The request that gets the operators' limits in force.
 
 use super::answers::{self, Answer};
-use super::objects::stamp;
-use super::Front;
+use super::objects::rfc3339;
+use super::Api;
 use crate::decide::limits::{explain, Figures};
 use crate::state::FleetView;
 use crate::wire::hub::DatagramCounts;
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 
 fn figures(of: &Figures) -> Map<String, Value> {
-    let value = |word: String| serde_json::from_str(&word).unwrap_or(Value::String(word));
-    explain::figures_by_name(of).into_iter().map(|(name, word)| (name.to_string(), value(word))).collect()
+    let value = |text: String| serde_json::from_str(&text).unwrap_or(Value::String(text));
+    explain::figures_by_name(of).into_iter().map(|(name, text)| (name.to_string(), value(text))).collect()
 }
 
-/// The planner's part in its fleet: what it holds of each budget.
+/// The planner's state in its fleet: its slots, its share of each budget, and the counts of datagrams.
 fn fleet(of: &FleetView, counts: &DatagramCounts) -> Value {
     let slots = of.slots.iter().map(|(slot, left_s)| json!({"slot": slot, "forMs": (left_s * 1e3).round()}));
     let budgets = of.budgets.iter().map(|b| {
@@ -34,14 +34,15 @@
     })
 }
 
-/// What is in force: generation, digest, the file's places, what is counted, and the last refusal.
-pub(super) async fn get(State(front): State<Arc<Front>>) -> Answer {
-    let (view, names, of_fleet) = {
-        let mut inner = front.hub.lock();
-        let now = front.hub.now();
+/// The limits in force: generation and digest of the file, its limits, the counters, and the last rejected
+/// file.
+pub(super) async fn get(State(api): State<Arc<Api>>) -> Answer {
+    let (view, names, fleet_json) = {
+        let mut inner = api.hub.lock();
+        let now = api.hub.now();
         let view = inner.core.limits_view(now);
-        let of_fleet = inner.core.fleet_view(now).map(|view| fleet(&view, &inner.peer_counts));
-        (view, inner.core.vocabulary().classes().to_vec(), of_fleet)
+        let fleet_json = inner.core.fleet_view(now).map(|view| fleet(&view, &inner.peer_counts));
+        (view, inner.core.vocabulary().classes().to_vec(), fleet_json)
     };
     let model = view.table.model();
     let classes: Map<String, Value> =
@@ -73,14 +74,14 @@
         "routes": routes,
         "counted": counted,
     });
-    if let Some(of_fleet) = of_fleet {
-        body["fleet"] = of_fleet;
+    if let Some(fleet_json) = fleet_json {
+        body["fleet"] = fleet_json;
     }
     if view.generation > 0 {
-        body["since"] = json!(stamp(view.since));
+        body["since"] = json!(rfc3339(view.since));
     }
     if let Some((at, why)) = &view.refused {
-        body["lastRefusal"] = json!({"at": stamp(*at), "faults": why});
+        body["lastRefusal"] = json!({"at": rfc3339(*at), "faults": why});
     }
     Ok(answers::json(200, &body))
 }
--- a/src/wire/rest/mod.rs
+++ b/src/wire/rest/mod.rs
@@ -1,4 +1,5 @@
-//! The second front: jobs and machines over HTTP, with watches. Off unless an operator's file sets it up.
+//! The REST API: jobs, groups, machines and limits over HTTP, with watches. It is off unless the operators'
+//! file has a section `rest`.
 
 mod answers;
 mod client;
@@ -34,37 +35,38 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// A connection that does not send its headers by then is closed.
-const HEADERS: Duration = Duration::from_secs(5);
-/// Seconds. The longest time that can be set.
-const MOST_S: f64 = 86_400.0;
-/// Count. The most of anything that can be set.
-const MOST_COUNT: u64 = 16 * 1024 * 1024;
-const LOOPBACK: &str = "only loopback addresses are listened on and asked";
-/// Wait after a failed accept.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-
-/// What the operators' file says of this front, in its section `rest`. Everything has a bound.
+/// A connection whose request headers take longer than this to arrive is closed.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Seconds. The longest time that the section accepts.
+const MAX_SETTING_S: f64 = 86_400.0;
+/// The largest count that the section accepts.
+const MAX_SETTING_COUNT: u64 = 16 * 1024 * 1024;
+const LOOPBACK: &str = "the REST API uses loopback addresses only";
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// The section `rest` of the operators' file. Every resource that the API uses has a bound.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Where it listens, on loopback.
+    /// The loopback address on which it listens.
     pub listen: String,
-    /// Bytes of a request's body.
+    /// Bytes. The largest body of a request.
     pub max_body_bytes: usize,
-    /// Jobs that wait or run, of this front's clients.
+    /// The most jobs of its clients that wait or run at once.
     pub max_open_jobs: usize,
-    /// Watches that are open at once.
+    /// The most watches that are open at once.
     pub max_watchers: usize,
-    /// Connections that are open at once.
+    /// The most connections that are open at once.
     pub max_connections: usize,
-    /// Changes that a watch can resume from.
+    /// Count. The latest changes, which are kept so that watches can resume.
     pub history: usize,
-    /// Jobs that are over and can still be looked at, and for how many seconds.
+    /// The most jobs that are kept for reading after they are over.
     pub keep_over: usize,
+    /// Seconds for which such a job is kept.
     pub keep_over_s: f64,
-    /// Seconds between bookmarks on a quiet watch.
+    /// Seconds between bookmarks on a watch without changes.
     pub bookmark_s: f64,
-    /// Seconds after which a watcher that does not read is cut.
+    /// Seconds after which the connection of a watcher that does not read is closed.
     pub slow_watcher_s: f64,
     /// The planners that share the keys, this one included, as `http://ADDRESS:PORT`.
     pub fleet: Vec<String>,
@@ -92,13 +94,13 @@
 }
 
 impl Options {
-    /// Reads the section; nothing where it cannot be served, and the item's sink knows why.
+    /// Reads the section. Returns `None` if it has faults, which go to the item's sink.
     pub fn read(item: &Item<'_>) -> Option<Options> {
         let section = item.section()?;
         let before = item.sink().count();
         let mut own = Options::default();
         let count_from = |least, name, into: &mut usize| {
-            if let Some(n) = section.get(name).and_then(|i| i.count(least..=MOST_COUNT)) {
+            if let Some(n) = section.get(name).and_then(|i| i.count(least..=MAX_SETTING_COUNT)) {
                 *into = n as usize;
             }
         };
@@ -110,7 +112,7 @@
         count("history", &mut own.history);
         count("keepOver", &mut own.keep_over);
         let time = |name, into: &mut f64| {
-            if let Some(seconds) = section.get(name).and_then(|i| i.millis(MOST_S * 1e3)) {
+            if let Some(seconds) = section.get(name).and_then(|i| i.millis(MAX_SETTING_S * 1e3)) {
                 *into = seconds;
             }
         };
@@ -121,7 +123,7 @@
             let address = item.text().map(|text| (text, text.parse::<std::net::SocketAddr>()));
             match address {
                 Some((text, Ok(address))) if address.ip().is_loopback() => own.listen = text.into(),
-                Some((_, Ok(_))) => item.breaks("is reached from outside", LOOPBACK),
+                Some((_, Ok(_))) => item.breaks("is not a loopback address", LOOPBACK),
                 Some((text, Err(_))) => {
                     item.fault(format!("{text:?} is no address; ADDRESS:PORT is expected"))
                 }
@@ -147,17 +149,17 @@
     }
 }
 
-/// Shared by all requests.
-struct Front {
+/// State that all requests share.
+struct Api {
     hub: Arc<Hub>,
     options: Options,
     fleet: Fleet,
     watchers: Arc<Semaphore>,
-    /// Marks the versions of this life: those of another are gone.
+    /// Identifies this run of the program in resource versions; versions of another run are gone.
     epoch: u64,
 }
 
-impl Front {
+impl Api {
     fn version(&self, version: u64) -> String {
         format!("{:x}-{version}", self.epoch)
     }
@@ -166,10 +168,10 @@
 /// Serves HTTP for as long as the program runs.
 pub async fn serve(hub: Arc<Hub>, listener: TcpListener, options: Options) {
     let epoch = (hub.now() * 1e3) as u64;
-    let places = Arc::new(Semaphore::new(options.max_connections));
+    let connection_permits = Arc::new(Semaphore::new(options.max_connections));
     let fleet = Fleet::new(&options.fleet, &options.own_url);
     let watchers = Arc::new(Semaphore::new(options.max_watchers));
-    let front = Arc::new(Front { hub, options, fleet, watchers, epoch });
+    let api = Arc::new(Api { hub, options, fleet, watchers, epoch });
     let app = Router::new()
         .route("/healthz", get(health))
         .route("/v1/jobs", get(list_jobs).post(jobs::submit))
@@ -181,14 +183,14 @@
         .route("/v1/machines/{name}", get(get_machine))
         .fallback(|uri: Uri| async move { Problem::unknown(&format!("there is nothing at {}", uri.path())) })
         .method_not_allowed_fallback(|| async { Problem::method() })
-        .with_state(front);
+        .with_state(api);
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = connection_permits.clone().acquire_owned().await else { return };
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::debug!(%error, "cannot accept");
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+                tracing::debug!(%error, "cannot accept a connection of the REST API");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -196,50 +198,50 @@
         tokio::spawn(async move {
             let _ = stream.set_nodelay(true);
             let mut builder = http1::Builder::new();
-            let builder = builder.timer(TokioTimer::new()).header_read_timeout(HEADERS);
+            let builder = builder.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
             if let Err(error) = builder.serve_connection(TokioIo::new(stream), service).await {
-                tracing::debug!(%error, "a connection of the REST front broke");
+                tracing::debug!(%error, "connection of the REST API failed");
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-async fn health(State(front): State<Arc<Front>>) -> Answer {
-    if front.hub.lock().draining {
+async fn health(State(api): State<Arc<Api>>) -> Answer {
+    if api.hub.lock().draining {
         return Err(Problem::unavailable("the planner is stopping", 1.0));
     }
     Ok(answers::json(200, &json!({"status": "ok"})))
 }
 
 async fn list_jobs(
-    State(front): State<Arc<Front>>,
-    query: Result<Query<watch::Asked>, QueryRejection>,
+    State(api): State<Arc<Api>>,
+    query: Result<Query<watch::ListQuery>, QueryRejection>,
 ) -> Answer {
-    watch::list(front, watch::Kind::Jobs, answers::query(query)?)
+    watch::list(api, watch::Kind::Jobs, answers::query(query)?)
 }
 
 async fn list_groups(
-    State(front): State<Arc<Front>>,
-    query: Result<Query<watch::Asked>, QueryRejection>,
+    State(api): State<Arc<Api>>,
+    query: Result<Query<watch::ListQuery>, QueryRejection>,
 ) -> Answer {
-    watch::list(front, watch::Kind::Groups, answers::query(query)?)
+    watch::list(api, watch::Kind::Groups, answers::query(query)?)
 }
 
 async fn list_machines(
-    State(front): State<Arc<Front>>,
-    query: Result<Query<watch::Asked>, QueryRejection>,
+    State(api): State<Arc<Api>>,
+    query: Result<Query<watch::ListQuery>, QueryRejection>,
 ) -> Answer {
-    watch::list(front, watch::Kind::Machines, answers::query(query)?)
+    watch::list(api, watch::Kind::Machines, answers::query(query)?)
 }
 
-async fn get_machine(State(front): State<Arc<Front>>, Path(name): Path<String>) -> Answer {
-    let view = front.hub.lock().core.machine_views().into_iter().find(|m| m.name == name);
+async fn get_machine(State(api): State<Arc<Api>>, Path(name): Path<String>) -> Answer {
+    let view = api.hub.lock().core.machine_views().into_iter().find(|m| m.name == name);
     let view = view.ok_or_else(|| Problem::unknown(&format!("no machine is called {name:?}")))?;
-    Ok(answers::json(200, &objects::machine(&front, &view)))
+    Ok(answers::json(200, &objects::machine(&api, &view)))
 }
 
-/// A body that ends with its last byte.
-fn whole(text: String) -> Body {
+/// A body whose length is known, as opposed to the stream of a watch.
+fn complete_body(text: String) -> Body {
     Body::from(text)
 }
--- a/src/wire/rest/objects.rs
+++ b/src/wire/rest/objects.rs
@@ -1,6 +1,6 @@
-//! Jobs and machines as JSON.
+//! Jobs, groups and machines as JSON objects.
 
-use super::Front;
+use super::Api;
 use crate::decide::groups;
 use crate::decide::limits::Why;
 use crate::placer::*;
@@ -10,7 +10,7 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// A job that a client asks for.
+/// A job as a client submits it.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct NewJob {
@@ -18,26 +18,27 @@
     pub class: String,
     /// The service whose program it runs.
     pub service: String,
-    /// Cores that it asks for.
+    /// Cores that it requests.
     pub cores: f64,
-    /// Memory that it asks for.
+    /// Memory that it requests.
     pub memory: f64,
-    /// Milliseconds in which it must stand.
+    /// Milliseconds within which it must be placed.
     pub deadline_ms: u64,
-    /// What the machine is told besides.
+    /// Text that is passed to the machine with the task.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub description: String,
 }
 
 impl NewJob {
-    /// A service's number: its name where that is 16 hex digits, as on the platform, else a digest of it.
+    /// The service's number: its name, if that is 16 hex digits as on the platform, otherwise a digest of the
+    /// name.
     pub fn service_id(&self) -> ServiceId {
         let hex = self.service.len() == 16 && self.service.bytes().all(|b| b.is_ascii_hexdigit());
         let number = hex.then(|| u64::from_str_radix(&self.service, 16).ok()).flatten();
         ServiceId(number.unwrap_or_else(|| digest(self.service.as_bytes())))
     }
 
-    /// Tells two bodies apart, whatever their spacing and order.
+    /// A digest of the job's fields, which does not depend on the body's white space or field order.
     pub fn digest(&self) -> u64 {
         digest(json!(self).to_string().as_bytes())
     }
@@ -64,7 +65,7 @@
     }
 }
 
-/// Why an attempt ended, in words.
+/// The text for the end of an attempt.
 pub fn reason(last: Option<(Outcome, Reason)>) -> Option<&'static str> {
     Some(match last? {
         (_, Reason::NoCores) => "no cores left",
@@ -86,7 +87,7 @@
     })
 }
 
-/// The limit that turned a job away, in words.
+/// The text for the limit that rejected a job.
 pub fn limit(why: Why) -> &'static str {
     match why {
         Why::Rate => "more jobs came than the rate allows",
@@ -101,16 +102,16 @@
 }
 
 /// A job as an object.
-pub(super) fn job(front: &Front, view: &JobView) -> Value {
+pub(super) fn job(api: &Api, view: &JobView) -> Value {
     let mut job = json!({
         "kind": "Job",
         "id": id(view.id),
-        "resourceVersion": front.version(view.version),
+        "resourceVersion": api.version(view.version),
         "class": view.spec.class,
         "service": view.spec.service,
         "cores": view.room.cores,
         "memory": view.room.memory,
-        "deadline": stamp(view.deadline),
+        "deadline": rfc3339(view.deadline),
         "status": {"phase": phase(view.phase), "attempts": view.attempts},
     });
     if let Some(key) = &view.spec.key {
@@ -119,8 +120,8 @@
     if let Some(machine) = &view.machine {
         job["status"]["machine"] = json!(machine);
     }
-    let of_limit = view.turned.map(|turned| limit(turned.why));
-    if let Some(reason) = of_limit.or(reason(view.last)) {
+    let limit_reason = view.turned.map(|turned| limit(turned.why));
+    if let Some(reason) = limit_reason.or(reason(view.last)) {
         job["status"]["reason"] = json!(reason);
     }
     if matches!(view.phase, Phase::Refused | Phase::DeadlinePassed) {
@@ -130,14 +131,14 @@
 }
 
 /// A group as an object.
-pub(super) fn group(front: &Front, view: &GroupView) -> Value {
+pub(super) fn group(api: &Api, view: &GroupView) -> Value {
     let member = |(at, of): (usize, &MemberView)| {
         let mut member = json!({"member": at});
         if let Some(job) = of.job {
             member["job"] = json!(id(job));
         }
-        if let Some(of_job) = of.phase {
-            member["phase"] = json!(phase(of_job));
+        if let Some(job_phase) = of.phase {
+            member["phase"] = json!(phase(job_phase));
         }
         if let Some(machine) = &of.machine {
             member["machine"] = json!(machine);
@@ -151,8 +152,8 @@
     let mut group = json!({
         "kind": "Group",
         "id": format!("{:016x}", view.id.0),
-        "resourceVersion": front.version(view.version),
-        "deadline": stamp(view.deadline),
+        "resourceVersion": api.version(view.version),
+        "deadline": rfc3339(view.deadline),
         "status": {"phase": format!("{:?}", view.phase), "tries": view.tries, "members": members},
     });
     if let Some(key) = &view.key {
@@ -175,7 +176,7 @@
     group
 }
 
-/// Why a group was given up, in words.
+/// The text for the reason why a group was given up.
 pub fn given_up(why: groups::Why) -> &'static str {
     match why {
         groups::Why::NoRoom => "there is no room for the whole group",
@@ -190,11 +191,11 @@
 }
 
 /// A machine as an object.
-pub(super) fn machine(front: &Front, view: &MachineView) -> Value {
+pub(super) fn machine(api: &Api, view: &MachineView) -> Value {
     let mut machine = json!({
         "kind": "Machine",
         "name": view.name,
-        "resourceVersion": front.version(view.version),
+        "resourceVersion": api.version(view.version),
         "zone": view.zone,
         "cell": view.cell.0,
         "free": {"cores": view.free.cores, "memory": view.free.memory},
@@ -205,13 +206,13 @@
         },
     });
     if view.started > 0.0 {
-        machine["started"] = json!(stamp(view.started));
+        machine["started"] = json!(rfc3339(view.started));
     }
     machine
 }
 
-/// A time as RFC 3339 has it.
-pub(super) fn stamp(at: Seconds) -> String {
+/// A time in the format of RFC 3339.
+pub(super) fn rfc3339(at: Seconds) -> String {
     let time = chrono::DateTime::from_timestamp_millis((at * 1e3) as i64);
     time.map(|t| t.to_rfc3339_opts(chrono::SecondsFormat::Millis, true)).unwrap_or_default()
 }
