--- a/src/wire/import/access_log.rs
+++ b/src/wire/import/access_log.rs
@@ -39,9 +39,8 @@
 }
 
 fn line(number: usize, bytes: &[u8]) -> std::result::Result<Request, String> {
-    let parts = parts
-        .parse(bytes)
-        .map_err(|e| format!("not an access log line: unexpected text at byte {}", e.offset() + 1))?;
+    let parts =
+        parts.parse(bytes).map_err(|e| format!("not an access log line, from byte {}", e.offset() + 1))?;
     let time = String::from_utf8_lossy(parts.time);
     let at = DateTime::parse_from_str(&time, "%d/%b/%Y:%H:%M:%S %z");
     let at = at.map_err(|e| format!("time {time:?}: {e}"))?;
