--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -41,7 +41,7 @@
 use crate::placer::*;
 use crate::state::{Core, CoreBounds, Effect, GroupId, GroupSubmission, Input, Owner, Refusal, Spec};
 use crate::vocabulary;
-use crate::wire::peers::words;
+use crate::wire::peers::codec;
 use crate::wire::platform::node::{self, cause, SetUp};
 use crate::wire::platform::{board, owner, owners};
 use serde_json::Value;
@@ -358,11 +358,11 @@
     ) -> Result<(), Rejected> {
         let rejected = |why: String| Rejected::Datagram(why);
         let fleet = self.fleet.as_ref().ok_or_else(|| rejected("this planner is in no fleet".into()))?;
-        let datagram = words::read(fleet.digest(), bytes).map_err(|error| rejected(error.to_string()))?;
+        let datagram = codec::read(fleet.digest(), bytes).map_err(|error| rejected(error.to_string()))?;
         if datagram.from != from {
             return Err(rejected("it names another planner as its sender".into()));
         }
-        let input = Input::Peer { from: (datagram.from, datagram.life), words: datagram.words };
+        let input = Input::Peer { from: (datagram.from, datagram.life), messages: datagram.messages };
         self.apply(now, input, out);
         Ok(())
     }
@@ -455,7 +455,7 @@
                 let cause = if outcome == Outcome::Ok { cause::OVER } else { cause::RESET };
                 out.extend(to_client(owner, owner::release(job.0, cause, None)));
             }
-            Effect::SendToPeer { to, words } => self.send_to_planner(to, &words, out),
+            Effect::SendToPeer { to, messages } => self.send_to_planner(to, &messages, out),
             // Effects on connections alone: a simulated connection has no timers.
             Effect::Watch { .. } | Effect::Expel { .. } => {}
             Effect::AttemptOver { .. } | Effect::CutShort { .. } => {}
@@ -471,7 +471,7 @@
     ) {
         let Some(fleet) = &self.fleet else { return };
         let own = fleet.plan.place.0;
-        for bytes in words::write(fleet.digest(), own, self.incarnation(), messages) {
+        for bytes in codec::write(fleet.digest(), own, self.incarnation(), messages) {
             out.push(Output::ToPlanner { planner: to, bytes });
         }
     }
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -73,5 +73,5 @@
 fn send_messages(out: Vec<(Member, PeerMessage)>, effects: &mut Vec<Effect>) {
     let mut by_member: BTreeMap<Member, Vec<PeerMessage>> = BTreeMap::new();
     out.into_iter().for_each(|(to, word)| by_member.entry(to).or_default().push(word));
-    effects.extend(by_member.into_iter().map(|(to, words)| Effect::SendToPeer { to, words }));
+    effects.extend(by_member.into_iter().map(|(to, messages)| Effect::SendToPeer { to, messages }));
 }
--- a/src/state/interface.rs
+++ b/src/state/interface.rs
@@ -167,7 +167,7 @@
     /// The planner joins a fleet; sent once, before any other input.
     Join { plan: Plan, life: Incarnation },
     /// Messages of another planner; `Incarnation` identifies the incarnation (process start) that sent them.
-    Peer { from: (Member, Incarnation), words: Vec<PeerMessage> },
+    Peer { from: (Member, Incarnation), messages: Vec<PeerMessage> },
     /// Time has advanced; due alarms are handled.
     Tick,
 }
@@ -225,7 +225,7 @@
     /// A client violated the protocol: close its connection once it has no pending jobs.
     Expel { link: u64 },
     /// Send messages to another planner, without guaranteed delivery.
-    SendToPeer { to: Member, words: Vec<PeerMessage> },
+    SendToPeer { to: Member, messages: Vec<PeerMessage> },
     /// Subscribe to the machine list.
     Subscribe,
     /// The history has a new change: wake the watchers.
--- a/src/state/limits/tests.rs
+++ b/src/state/limits/tests.rs
@@ -27,9 +27,9 @@
         "kinds": ["k"], "membership_mode": "push", "n_instances": 1, "permissions": {"max_attempts": 4},
         "report": {"source": "silent"}, "rules": {"ask_every_s": 10.0, "fall_s": 2.0, "warm_within_s": 16.0},
         "tick_s": 0.002, "zone": "hall-a"});
-    let (settings, words) = vocabulary::settings(&boot).expect("settings");
+    let (settings, vocabulary) = vocabulary::settings(&boot).expect("settings");
     let keep = CoreBounds { waiting_bytes: 1 << 20, standing: 1000, history: 100, over: 10, over_s: 100.0 };
-    Core::new(settings, words, 7, keep).expect("a core")
+    Core::new(settings, vocabulary, 7, keep).expect("a core")
 }
 
 /// The auditor's record of a job.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -241,7 +241,7 @@
             Input::CancelGroup { group } => self.on_group_event(now, group, groups::Event::Cancel, effects),
             Input::Draining { until } => self.shut_down(now, until, effects),
             Input::Join { plan, life } => self.join(now, &plan, life),
-            Input::Peer { from, words } => self.handle_peer_messages(now, from, words, effects),
+            Input::Peer { from, messages } => self.handle_peer_messages(now, from, messages, effects),
             Input::LinkUp { machine } => self.resend_cuts(machine, effects),
             Input::Ended { machine, job, before, after, why, report } => {
                 self.prove_gone(job, machine);
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -34,9 +34,9 @@
         "on_time_s": 1.0, "repeat_window_s": window_s}], "kinds": ["k"], "membership_mode": "push", "n_instances": 1,
         "permissions": {"max_attempts": 4}, "report": {"source": "silent"},
         "rules": {"ask_every_s": 10.0, "fall_s": 2.0, "warm_within_s": 16.0}, "tick_s": 0.002, "zone": "z"});
-    let (settings, words) = vocabulary::settings(&boot).expect("settings");
+    let (settings, vocabulary) = vocabulary::settings(&boot).expect("settings");
     let keep = CoreBounds { waiting_bytes: 1 << 20, standing: 3, history: 100, over: 10, over_s: 100.0 };
-    Core::new(settings, words, 7, keep).expect("a core")
+    Core::new(settings, vocabulary, 7, keep).expect("a core")
 }
 
 impl Bench {
--- a/src/wire/hub.rs
+++ b/src/wire/hub.rs
@@ -340,10 +340,10 @@
                     link.wake.notify_one();
                 }
             }
-            Effect::SendToPeer { to, words } => {
+            Effect::SendToPeer { to, messages } => {
                 if let Some(peers) = &self.peers {
                     // Messages beyond the capacity of the queue are dropped, as the network may drop them.
-                    let _ = peers.try_send((to, words));
+                    let _ = peers.try_send((to, messages));
                 }
             }
             Effect::AttemptOver { unheard, .. } => self.counts.unheard_attempts += u64::from(unheard),
--- a/src/wire/peers/words.rs
+++ b/src/wire/peers/codec.rs
@@ -62,7 +62,7 @@
     /// The sender's incarnation.
     pub life: Incarnation,
     /// The messages, in their order.
-    pub words: Vec<PeerMessage>,
+    pub messages: Vec<PeerMessage>,
 }
 
 fn check(digest: u64, rest: &[u8]) -> u64 {
@@ -205,11 +205,11 @@
         kind::GRANT => grant,
         _ => fail::<_, PeerMessage, _>,
     };
-    let words = (repeat(0.., message), empty)
-        .map(|(words, ())| words)
+    let messages = (repeat(0.., message), empty)
+        .map(|(messages, ())| messages)
         .parse(input)
         .map_err(|_| Malformed::Messages)?;
-    Ok(Datagram { from, life, words })
+    Ok(Datagram { from, life, messages })
 }
 
 #[cfg(test)]
--- a/src/wire/peers/words/tests.rs
+++ b/src/wire/peers/codec/tests.rs
@@ -21,11 +21,11 @@
     let many: Vec<PeerMessage> = (0..40).flat_map(|_| messages()).collect();
     let datagrams = write(1, 4, 5, &many);
     assert!(datagrams.len() > 8 && datagrams.iter().all(|d| d.len() <= MAX_BYTES));
-    let read = datagrams.iter().flat_map(|d| read(1, d).expect("a valid datagram").words);
+    let read = datagrams.iter().flat_map(|d| read(1, d).expect("a valid datagram").messages);
     assert_eq!(read.collect::<Vec<_>>(), many);
     let too_large = Ask { life: 5, number: 1, wants: u64::MAX, holds: 0, total: 1, hold: 0 };
     let datagram = read_one(&write(1, 4, 5, &[PeerMessage::Ask(1, too_large)])[0]);
-    assert_eq!(datagram.words, [PeerMessage::Ask(1, Ask { wants: u64::from(u32::MAX), ..too_large })]);
+    assert_eq!(datagram.messages, [PeerMessage::Ask(1, Ask { wants: u64::from(u32::MAX), ..too_large })]);
 }
 
 fn read_one(bytes: &[u8]) -> Datagram {
--- a/src/wire/peers/mod.rs
+++ b/src/wire/peers/mod.rs
@@ -2,19 +2,19 @@
 //! listed addresses and from this fleet. All others are dropped and counted. Nothing is retransmitted here:
 //! whoever needs a message that was lost sends another one.
 
-pub mod words;
+pub mod codec;
 
 use super::hub::{DatagramCounts, Hub};
 use crate::decide::budgets::PeerMessage;
 use crate::decide::fleet::settings::FleetSettings;
 use crate::decide::fleet::{Incarnation, Member};
 use crate::state::Input;
+use codec::{Malformed, MAX_BYTES};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::Receiver;
-use words::{Malformed, MAX_BYTES};
 
 /// Count. Capacity of the queue of outgoing batches of messages; further batches are dropped, as a network
 /// would.
@@ -41,7 +41,7 @@
             outgoing = queue.recv() => {
                 let Some((to, messages)) = outgoing else { return };
                 let Some((_, address)) = settings.planners.get(usize::from(to)) else { continue };
-                for datagram in words::write(digest, own, life, &messages) {
+                for datagram in codec::write(digest, own, life, &messages) {
                     // If the buffer is full or the other planner is down, the datagram counts as lost.
                     if socket.try_send_to(&datagram, *address).is_ok() {
                         let mut inner = hub.lock();
@@ -69,11 +69,11 @@
     let mut inner = hub.lock();
     inner.peer_counts.received.0 += 1;
     inner.peer_counts.received.1 += bytes.len() as u64;
-    match words::read(digest, bytes) {
+    match codec::read(digest, bytes) {
         Ok(datagram) if from == Some(datagram.from) => {
             hub.apply_in(
                 &mut inner,
-                Input::Peer { from: (datagram.from, datagram.life), words: datagram.words },
+                Input::Peer { from: (datagram.from, datagram.life), messages: datagram.messages },
             );
         }
         Ok(_) => inner.peer_counts.unlisted += 1,
--- a/src/wire/platform/board.rs
+++ b/src/wire/platform/board.rs
@@ -85,21 +85,21 @@
 
 impl Event {
     /// The machines of the event, and whether they are a change or the whole list.
-    pub fn notices(&self, words: &mut Vocabulary) -> (ListKind, Vec<MachineNotice>) {
+    pub fn notices(&self, vocabulary: &mut Vocabulary) -> (ListKind, Vec<MachineNotice>) {
         let kind = if self.pool.reset || self.rev == 1 { ListKind::Whole } else { ListKind::Changes };
-        (kind, self.pool.instances.iter().map(|i| i.notice(words)).collect())
+        (kind, self.pool.instances.iter().map(|i| i.notice(vocabulary)).collect())
     }
 }
 
 impl Instance {
-    fn notice(&self, words: &mut Vocabulary) -> MachineNotice {
+    fn notice(&self, vocabulary: &mut Vocabulary) -> MachineNotice {
         let free = |at: usize| self.free.get(at).copied().unwrap_or(0.0);
         let entry = Entry {
-            machine: words.machine(&self.instance_id),
+            machine: vocabulary.machine(&self.instance_id),
             key: key(&self.instance_id),
-            zone: words.zone(&self.zone),
+            zone: vocabulary.zone(&self.zone),
             cell: CellId(self.cell),
-            kind: words.kind(&self.machine_type),
+            kind: vocabulary.kind(&self.machine_type),
             // A machine in an unknown state gets no new tasks, as if it were draining.
             standing: match self.lifecycle.as_str() {
                 "in_service" => Standing::Ready,
--- a/src/wire/platform/node.rs
+++ b/src/wire/platform/node.rs
@@ -87,8 +87,8 @@
 
 impl MachineMessage {
     /// The message as an input of the core, if it has a meaning there.
-    pub fn input(self, machine: MachineId, words: &Vocabulary) -> Option<Input> {
-        let report = |load: Option<Load>| load.map(|load| words.report_by(|name| load.get(name)));
+    pub fn input(self, machine: MachineId, vocabulary: &Vocabulary) -> Option<Input> {
+        let report = |load: Option<Load>| load.map(|load| vocabulary.report_by(|name| load.get(name)));
         Some(match self {
             MachineMessage::Running { job, body } => Input::Bound { machine, job, body },
             MachineMessage::Stopped { job, before, after, why, load } => {
