--- a/src/wire/hub.rs
+++ b/src/wire/hub.rs
@@ -63,17 +63,17 @@
     orphans: VecDeque<Orphan>,
     effects: Vec<Effect>,
     pub bounds: Bounds,
-    /// The limited places for connections to machines.
-    pub places: ConnectionSlots,
+    /// The limited number of slots for connections to machines.
+    pub slots: ConnectionSlots,
     /// When machines started.
     start_times: StartTimes,
     /// Whether the wall clock has stepped since the program started.
     has_stepped: bool,
-    /// Machines to which a connection task is to be started, with the ids of their links.
+    /// Machines whose link task is to be started, with the ids of their links.
     connect_requests: mpsc::UnboundedSender<(MachineId, u64)>,
-    /// Set-ups that are held back until everything their client has sent is read.
+    /// Set-ups that are held back until everything their owner has sent is read.
     held: HeldSetUps,
-    /// Links of machines that left the list and whose tasks have not finished yet, by the ids of the links.
+    /// Links of machines that left the list and whose link tasks have not ended yet, by the ids of the links.
     departed_links: BTreeMap<u64, DepartedLink>,
     /// The next id of a link to a machine or of a connection of an owner.
     next_link_id: u64,
@@ -109,7 +109,7 @@
 }
 
 impl Hub {
-    /// A hub, and the queue of machines to which a connection task is to be started.
+    /// A hub, and the queue of machines whose link task is to be started.
     pub fn new(
         core: Core,
         bounds: Bounds,
@@ -125,7 +125,7 @@
             orphans: VecDeque::new(),
             effects: Vec::new(),
             bounds,
-            places: ConnectionSlots::new(bounds.links),
+            slots: ConnectionSlots::new(bounds.links),
             start_times,
             has_stepped: false,
             connect_requests,
@@ -156,10 +156,11 @@
         self.clock.now()
     }
 
-    /// The earliest time at which bytes that are read from a client now can have arrived, as far as is known.
-    pub fn earliest_arrival(&self, inner: &Inner, client: u64) -> Seconds {
+    /// The earliest time at which bytes that are read from an owner now can have arrived, as far as is known;
+    /// `owner_link` is the id of its connection.
+    pub fn earliest_arrival(&self, inner: &Inner, owner_link: u64) -> Seconds {
         let now = self.now();
-        let drained_at = inner.owners.get(&client).map_or(now, |link| link.drained_at);
+        let drained_at = inner.owners.get(&owner_link).map_or(now, |link| link.drained_at);
         let unread_since = self.turns.unread_for().map_or(now, |unread_s| now - unread_s);
         unread_since.max(drained_at).min(now)
     }
@@ -217,9 +218,9 @@
             inner.has_stepped = true;
             tracing::warn!("wall clock stepped: machines now count as started when they are reported");
         }
-        let heard = NoticeContext { now: self.now(), is_live, has_stepped: inner.has_stepped };
+        let context = NoticeContext { now: self.now(), is_live, has_stepped: inner.has_stepped };
         for MachineNotice { entry, .. } in &mut notices {
-            entry.started = inner.start_times.take(entry.machine, entry.started, heard);
+            entry.started = inner.start_times.take(entry.machine, entry.started, context);
             if entry.standing == Standing::Gone {
                 inner.start_times.forget(entry.machine);
             }
@@ -227,9 +228,9 @@
         self.apply_in(inner, Input::List { kind, notices });
     }
 
-    /// Writes what is queued for a machine and returns how far it came, or nothing where the link has been
-    /// replaced or its address has changed. Set-ups of which at least one byte was written are recorded as
-    /// sent even if the connection breaks during the write, because they may have run.
+    /// Writes the queued messages for a machine. Returns the result of the write, or `None` where the link
+    /// has been replaced or its address has changed. Set-ups of which at least one byte was written are
+    /// recorded as sent even if the connection breaks during the write, because they may have run.
     pub fn flush_to_machine(
         &self,
         (machine, link_id, address): (MachineId, u64, &str),
@@ -353,10 +354,10 @@
         }
     }
 
-    /// Sets new limits; connections beyond them stay until their places are needed.
+    /// Sets new limits; connections beyond them stay open until other connections need their places.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
-        self.places.set_capacity(bounds.links);
+        self.slots.set_capacity(bounds.links);
     }
 
     /// Whether no job waits for its answer, and no owner has unwritten answers, unread bytes or an incomplete
--- a/src/wire/hub/client_connections.rs
+++ b/src/wire/hub/client_connections.rs
@@ -33,7 +33,7 @@
 /// Seconds. A stopping planner waits this long after the last byte of an incomplete message for the rest of
 /// it.
 const PARTIAL_GRACE_S: Seconds = 0.1;
-/// Seconds. A connection that was read until nothing was left counts as read for this time.
+/// Seconds. A connection that was read until no bytes were left counts as drained for this time.
 const DRAINED_VALID_S: Seconds = 0.05;
 /// Seconds. A connection whose owner has not read its last answer for this time is closed.
 const READ_TIMEOUT_S: Seconds = 5.0;
@@ -180,7 +180,7 @@
     /// Closes the least useful connection: a silent one before an idle one, an idle one before one with
     /// running tasks, and among equals the least recently used. Returns `None` where none can be closed.
     pub fn make_room(&mut self) -> Option<()> {
-        let use_of = |(&id, link): (&u64, &OwnerLink)| {
+        let eviction_key = |(&id, link): (&u64, &OwnerLink)| {
             let link_load = self.core.link_load(id);
             let free = link_load.open == 0 && link.outbox.is_empty();
             free.then_some((
@@ -188,7 +188,7 @@
                 id,
             ))
         };
-        let mut free: Vec<_> = self.owners.iter().filter_map(use_of).collect();
+        let mut free: Vec<_> = self.owners.iter().filter_map(eviction_key).collect();
         free.sort_unstable();
         // Unread bytes have been acknowledged by the system and would be lost with the connection.
         let unread = |id: &u64| {
@@ -229,10 +229,10 @@
         silent.then_some("no request within the time limit").or(idle.then_some("idle"))
     }
 
-    /// Whether everything that a client has sent, a close included, was read up to at most
-    /// [`DRAINED_VALID_S`] ago.
-    fn is_drained(&mut self, now: Seconds, client: u64) -> bool {
-        let Some(link) = self.owners.get_mut(&client) else { return true };
+    /// Whether a connection is drained: everything that its owner has sent, a close included, has been read,
+    /// as of [`DRAINED_VALID_S`] ago or later.
+    fn is_drained(&mut self, now: Seconds, owner_link: u64) -> bool {
+        let Some(link) = self.owners.get_mut(&owner_link) else { return true };
         let Some(stream) = link.stream.as_ref().filter(|_| now - link.drained_at >= DRAINED_VALID_S) else {
             return true;
         };
@@ -243,38 +243,39 @@
         is_drained
     }
 
-    /// Holds back the set-ups for a machine whose clients have sent bytes that are not read yet: these may be
-    /// a cancellation or a close.
+    /// Holds back the set-ups for a machine whose owners have sent bytes that are not read yet: these may
+    /// cancel the job or close the connection.
     pub(super) fn hold_back_unread(&mut self, now: Seconds, machine: MachineId) {
         let Some(link) = self.machine_links.get(&machine) else { return };
         let link_id = link.link_id;
         for job in link.outbox.unsent().collect::<Vec<_>>() {
-            let Some(Owner::Link(client)) = self.core.job(job).map(|job| job.owner) else { continue };
-            if self.is_drained(now, client) {
+            let Some(Owner::Link(owner_link)) = self.core.job(job).map(|job| job.owner) else { continue };
+            if self.is_drained(now, owner_link) {
                 continue;
             }
             let set_up = self.machine_links.get_mut(&machine).and_then(|link| link.outbox.remove_set_up(job));
             if let Some(set_up) = set_up {
                 self.counts.held_set_ups += 1;
-                self.held.push(HeldSetUp { client, machine, link_id, set_up });
+                self.held.push(HeldSetUp { owner_link, machine, link_id, set_up });
             }
         }
     }
 
-    /// Records that a client has no unread bytes, and queues its held set-ups again, except those it has
-    /// cancelled.
-    pub fn client_drained(&mut self, now: Seconds, client: u64) {
-        if let Some(link) = self.owners.get_mut(&client) {
+    /// Records that an owner's connection has no unread bytes, and queues its held set-ups again, except
+    /// those that it has cancelled.
+    pub fn owner_drained(&mut self, now: Seconds, owner_link: u64) {
+        if let Some(link) = self.owners.get_mut(&owner_link) {
             link.drained_at = now;
         }
-        for HeldSetUp { machine, link_id, set_up, .. } in self.held.take(client) {
+        for HeldSetUp { machine, link_id, set_up, .. } in self.held.take(owner_link) {
             if self.machine_links.get(&machine).is_some_and(|link| link.link_id == link_id) {
                 self.write_set_up(now, machine, set_up);
             }
         }
     }
 
-    /// Queues a message that is not an effect of the core on a connection.
+    /// Queues a message on an owner's connection that is not an effect of the core, such as the answer to a
+    /// health check.
     pub fn reply(&mut self, now: Seconds, link: u64, bytes: Vec<u8>) {
         if let Some(link) = self.owners.get_mut(&link) {
             link.push(bytes, now);
--- a/src/wire/hub/clock.rs
+++ b/src/wire/hub/clock.rs
@@ -9,7 +9,7 @@
     Duration::try_from_secs_f64(span.max(0.0)).unwrap_or(Duration::MAX)
 }
 
-/// Seconds. A wall clock that deviates by more from the steady clock has stepped.
+/// Seconds. A wall clock that deviates by more from the monotonic clock has stepped.
 const STEP_S: Seconds = 0.25;
 
 /// The system's wall clock, in seconds since 1970.
--- a/src/wire/hub/counts.rs
+++ b/src/wire/hub/counts.rs
@@ -8,7 +8,7 @@
     pub unheard_attempts: u64,
     /// Connections to machines that this planner closed without proof that the machine closed them, too.
     pub unproved_ends: u64,
-    /// Set-ups held back until everything their client had sent was read.
+    /// Set-ups held back until everything their owner had sent was read.
     pub held_set_ups: u64,
     /// Requests that were answered early because the planner stops.
     pub cut_short: u64,
--- a/src/wire/hub/held.rs
+++ b/src/wire/hub/held.rs
@@ -1,12 +1,12 @@
-//! Set-ups that are held back because their client has sent bytes that are not read yet: these may cancel the
+//! Set-ups that are held back because their owner has sent bytes that are not read yet: these may cancel the
 //! job or close the connection.
 
 use crate::placer::{MachineId, RequestId};
 use crate::wire::platform::node::SetUp;
 
-/// A set-up that is held back, the link that it is meant for, and the connection of its client.
+/// A set-up that is held back, the link that it is meant for, and the id of its owner's connection.
 pub(super) struct HeldSetUp {
-    pub client: u64,
+    pub owner_link: u64,
     pub machine: MachineId,
     pub link_id: u64,
     pub set_up: SetUp,
@@ -31,12 +31,12 @@
         self.all.len() < before
     }
 
-    /// Removes the set-ups of a client whose bytes have all been read; they keep their order.
-    pub fn take(&mut self, client: u64) -> Vec<HeldSetUp> {
-        let (of_client, others) =
-            std::mem::take(&mut self.all).into_iter().partition(|held| held.client == client);
+    /// Removes and returns the set-ups of an owner whose bytes have all been read; they keep their order.
+    pub fn take(&mut self, owner_link: u64) -> Vec<HeldSetUp> {
+        let (of_owner, others) =
+            std::mem::take(&mut self.all).into_iter().partition(|held| held.owner_link == owner_link);
         self.all = others;
-        of_client
+        of_owner
     }
 }
 
--- a/src/wire/hub/machine_connections.rs
+++ b/src/wire/hub/machine_connections.rs
@@ -1,5 +1,5 @@
-//! The hub's side of the connections to machines: the queue of each link, and the limited places for
-//! connections.
+//! The hub's side of the connections to machines: the queue of each link, and the limited number of
+//! connection slots.
 
 use super::Inner;
 use crate::decide::links::Need;
@@ -14,18 +14,19 @@
 
 /// The link to a listed machine, as seen from the hub; its connection may be down.
 pub struct MachineLink {
-    /// Distinguishes the link from an earlier one to the same machine, whose task may not have ended yet.
+    /// Distinguishes the link from an earlier one to the same machine, whose link task may not have ended
+    /// yet.
     pub link_id: u64,
     pub address: String,
     pub outbox: Outbox,
-    /// Wakes the task of the link: something is to be written, or the connection is to be closed.
+    /// Wakes the link task: something is to be written, or the connection is to be closed.
     pub wake: Arc<Notify>,
-    /// Wakes the task of the link because its next periodic check may be due earlier. Unlike `wake`, it does
-    /// not count as a use of the connection.
+    /// Wakes the link task because its next periodic check may be due earlier. Unlike `wake`, it does not
+    /// count as a use of the connection.
     pub check_wake: Arc<Notify>,
-    /// When the health check was sent that is unanswered, if any.
+    /// When the unanswered probe (health check) was sent, if there is one.
     pub probe: Option<Seconds>,
-    /// The number of the last health check.
+    /// The number of the last probe.
     pub(super) probes: u64,
 }
 
@@ -43,7 +44,7 @@
 }
 
 impl Inner {
-    /// Creates the link to a listed machine and has its task started, or updates its address.
+    /// Creates the link to a listed machine and requests the start of its link task, or updates its address.
     pub(super) fn connect(&mut self, machine: MachineId, address: String) {
         if let Some(link) = self.machine_links.get_mut(&machine) {
             link.address = address;
@@ -68,7 +69,7 @@
     /// Has the link task of a machine that left the list close its connection.
     pub(super) fn disconnect(&mut self, now: Seconds, machine: MachineId, departure: DepartureId) {
         self.unreachable.remove(&machine);
-        self.release_place(now, machine);
+        self.release_slot(now, machine);
         let Some(link) = self.machine_links.remove(&machine) else { return };
         self.departed_links.insert(link.link_id, DepartedLink { departure, outbox: link.outbox });
         link.wake.notify_one();
@@ -89,24 +90,24 @@
         self.departed_links.remove(&link_id)
     }
 
-    /// Takes a place for the connection to a machine, or queues for one; the link task is woken once it has
-    /// the place.
-    pub fn want_place(&mut self, now: Seconds, machine: MachineId, need: Need) -> bool {
-        let was_short = self.places.is_short();
-        let had = self.places.want(now, machine, need);
-        if !was_short && self.places.is_short() {
-            self.wake_place_holders();
+    /// Takes a slot for the connection to a machine, or queues for one; returns whether the machine has a
+    /// slot. The link task is woken once it gets the slot that it queued for.
+    pub fn want_slot(&mut self, now: Seconds, machine: MachineId, need: Need) -> bool {
+        let was_short = self.slots.is_short();
+        let has_slot = self.slots.want(now, machine, need);
+        if !was_short && self.slots.is_short() {
+            self.wake_slot_holders();
         }
-        if !had {
-            self.reclaim_places(now);
+        if !has_slot {
+            self.reclaim_slots(now);
         }
-        had
+        has_slot
     }
 
-    /// Wakes all links that hold a place, so that they check periodically, for as long as a machine waits for
-    /// a place, whether a connection has become idle and can be given back.
-    fn wake_place_holders(&self) {
-        let held = |machine: &MachineId| self.places.is_held(*machine);
+    /// Wakes the link tasks that hold a slot. As long as a machine waits for a slot, they check periodically
+    /// whether a connection has become idle and can give back its slot.
+    fn wake_slot_holders(&self) {
+        let held = |machine: &MachineId| self.slots.is_held(*machine);
         self.machine_links
             .iter()
             .filter(|(machine, _)| held(machine))
@@ -126,43 +127,43 @@
             probe_since: self.machine_links.get(&machine).and_then(|l| l.probe),
             partial_line_since,
             holds_tasks: self.core.standing_at(machine) > 0,
-            is_short: self.places.is_short(),
+            is_short: self.slots.is_short(),
         }
     }
 
-    /// Asks the least recently used idle connections to give back their places, as many as machines wait for
+    /// Asks the least recently used idle connections to give back their slots, as many as machines wait for
     /// one.
-    pub fn reclaim_places(&mut self, now: Seconds) {
-        let Inner { places, machine_links, core, .. } = self;
-        while let Some(machine) = places.give_back(now, |machine| is_idle(machine_links, core, machine)) {
+    pub fn reclaim_slots(&mut self, now: Seconds) {
+        let Inner { slots, machine_links, core, .. } = self;
+        while let Some(machine) = slots.give_back(now, |machine| is_idle(machine_links, core, machine)) {
             if let Some(link) = machine_links.get(&machine) {
                 link.wake.notify_one();
             }
         }
     }
 
-    /// Whether the connection to a machine is to give back its place now. Where something has been opened on
-    /// it in the meantime, it keeps the place and another connection is asked.
+    /// Whether the connection to a machine is to give back its slot now. If it is in use again, it keeps the
+    /// slot and another connection is asked instead.
     pub fn must_give_back(&mut self, now: Seconds, machine: MachineId) -> bool {
-        if !self.places.is_reclaimed(machine) {
+        if !self.slots.is_reclaimed(machine) {
             return false;
         }
         if is_idle(&self.machine_links, &self.core, machine) {
             return true;
         }
-        self.places.keep(machine);
-        self.reclaim_places(now);
+        self.slots.keep(machine);
+        self.reclaim_slots(now);
         false
     }
 
-    /// Releases the place of a closed connection; it goes to the next machine in the queue.
-    pub fn release_place(&mut self, now: Seconds, machine: MachineId) {
-        if let Some(next) = self.places.release(now, machine).and_then(|next| self.machine_links.get(&next)) {
+    /// Releases the slot of a closed connection; it goes to the next machine in the queue.
+    pub fn release_slot(&mut self, now: Seconds, machine: MachineId) {
+        if let Some(next) = self.slots.release(now, machine).and_then(|next| self.machine_links.get(&next)) {
             next.wake.notify_one();
         }
     }
 
-    /// What a connection to a machine is needed for.
+    /// Why a connection to a machine is needed.
     pub fn need(&self, machine: MachineId) -> Need {
         if self.machine_links.get(&machine).is_some_and(|l| !l.outbox.is_empty()) {
             Need::Now
@@ -175,13 +176,13 @@
 
     /// Whether closing the connection to a machine would lose something: an attempt is open on it, or a
     /// message is not completely written.
-    pub fn has_open_attempt_at(&self, machine: MachineId) -> bool {
+    pub fn has_open_work_at(&self, machine: MachineId) -> bool {
         self.machine_links.get(&machine).is_some_and(|l| !l.outbox.is_empty())
             || self.core.has_open_attempt_at(machine)
     }
 
     /// Writes a message that the machine ignores: where its process is gone, the host answers with a reset.
-    pub fn nudge_machine(&mut self, machine: MachineId) {
+    pub fn provoke_reset(&mut self, machine: MachineId) {
         if let Some(job) = self.core.any_task_at(machine) {
             self.write_to_machine(machine, node::progress(job), Tag::Plain);
         }
--- a/src/wire/hub/machine_connections/tests.rs
+++ b/src/wire/hub/machine_connections/tests.rs
@@ -8,9 +8,9 @@
 use crate::wire::hub::{Bounds, Hub};
 use std::sync::Arc;
 
-/// A hub with so many listed machines, and so many places for their connections.
-fn hub(machines: u32, places: usize) -> Arc<Hub> {
-    let bounds = Bounds { owners: 9, owner_queue: 4096, machine_queue: 4096, links: places };
+/// A hub with so many listed machines, and so many slots for connections to them.
+fn hub(machines: u32, slots: usize) -> Arc<Hub> {
+    let bounds = Bounds { owners: 9, owner_queue: 4096, machine_queue: 4096, links: slots };
     let (hub, _wanted) = Hub::new(core("repeatable"), bounds, Arc::default());
     let notice = |n: u32| {
         let (machine, key) = (MachineId(n), MachineKey(u64::from(n)));
@@ -35,7 +35,7 @@
     JobSubmission { job: RequestId(job), owner: Owner::Link(1), spec, task }
 }
 
-/// Whether a task is notified; this takes the notification.
+/// Whether a notification is pending; this takes it.
 async fn is_woken(notify: &Notify) -> bool {
     tokio::select! {
         biased;
@@ -91,7 +91,7 @@
     wakes(&hub, machine).await;
     let ask = ask(&hub, 3);
     hub.apply(Input::Adopt { ask, machine });
-    assert_eq!(wakes(&hub, machine).await, TO_CHECK, "the first again");
+    assert_eq!(wakes(&hub, machine).await, TO_CHECK, "it is the first task again");
 }
 
 /// The machine may report the start of a task on a connection that has been replaced.
@@ -109,18 +109,18 @@
     assert_eq!(wakes(&hub, machine).await, TO_CHECK);
 }
 
-/// A connection that is in use may become idle later, so all links with a place start to check for that;
+/// A connection that is in use may become idle later, so all link tasks with a slot start to check for that;
 /// being woken for the check does not count as a use of the connection.
 #[tokio::test]
 async fn the_first_machine_in_line_for_a_place_wakes_all_place_holders() {
     let (hub, now) = (hub(4, 2), 100.0);
     let [first, second, third, fourth] = [0, 1, 2, 3].map(MachineId);
-    assert!(hub.lock().want_place(now, first, Need::Spare));
-    assert!(hub.lock().want_place(now, second, Need::Spare));
-    assert!(!hub.lock().want_place(now, third, Need::Spare), "an unneeded connection does not queue");
+    assert!(hub.lock().want_slot(now, first, Need::Spare));
+    assert!(hub.lock().want_slot(now, second, Need::Spare));
+    assert!(!hub.lock().want_slot(now, third, Need::Spare), "an unneeded connection does not queue");
     assert_eq!(wakes(&hub, first).await, NOTHING);
     for woken in [TO_CHECK, NOTHING] {
-        assert!(!hub.lock().want_place(now, third, Need::Now));
+        assert!(!hub.lock().want_slot(now, third, Need::Now));
         assert!(hub.lock().open_on(first, None).is_short);
         for machine in [first, second] {
             assert_eq!(wakes(&hub, machine).await, woken);
--- a/src/wire/hub/tests.rs
+++ b/src/wire/hub/tests.rs
@@ -49,7 +49,7 @@
     };
     let notice = MachineNotice { entry, address: "a:1".into() };
     hub.apply(Input::List { kind: ListKind::Changes, notices: vec![notice] });
-    let owner = open_owner_connection(&mut hub.lock(), 100.0).expect("a place");
+    let owner = open_owner_connection(&mut hub.lock(), 100.0).expect("the connection limit is not reached");
     let room = Room { cores: 1.0, memory: 1.0 };
     let (class, service, deadline) = (0, ServiceId(1), hub.now() + deadline_in_s);
     let limits = TaskLimits::default();
@@ -99,12 +99,15 @@
     for other in [true, false] {
         let hub = hub(9);
         let mut inner = hub.lock();
-        let first = open_owner_connection(&mut inner, 100.0).expect("a place");
+        let first = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
         inner.reply(100.0, first, vec![1]);
         inner.write_to_owner(100.0, Owner::Link(first), vec![2], true);
-        let second = other.then(|| open_owner_connection(&mut inner, 100.0).expect("a place"));
+        let second = other
+            .then(|| open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached"));
         inner.close_owner(100.1, first);
-        let second = second.or_else(|| open_owner_connection(&mut inner, 100.2)).expect("a place");
+        let second = second
+            .or_else(|| open_owner_connection(&mut inner, 100.2))
+            .expect("the connection limit is not reached");
         assert_eq!(inner.owners.get_mut(&second).expect("a link").outbox.take_reroutable(), [vec![2]]);
     }
 }
@@ -119,7 +122,7 @@
     let (stream, _) = listener.accept().await.expect("a connection");
     let stream = Arc::new(stream);
     let mut inner = hub.lock();
-    let first = open_owner_connection(&mut inner, 100.0).expect("a place");
+    let first = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
     inner.owners.get_mut(&first).expect("a link").stream = Some(stream.clone());
     assert!(!has_unread_bytes(&stream));
     io::Write::write_all(&mut client, &[0]).expect("written");
@@ -136,7 +139,7 @@
     let hub = hub(9);
     let mut inner = hub.lock();
     let ids: Vec<u64> = (0..3).filter_map(|_| open_owner_connection(&mut inner, 100.0)).collect();
-    let [silent, idle, unread] = ids[..] else { panic!("three places") };
+    let [silent, idle, unread] = ids[..] else { panic!("a connection was rejected below the limit") };
     inner.reply(100.0, idle, vec![]);
     inner.owners.get_mut(&idle).expect("a link").outbox.reset();
     inner.reply(100.0, unread, vec![0]);
@@ -152,10 +155,13 @@
 fn a_connection_with_open_answers_is_not_closed_to_make_room() {
     let hub = hub(2);
     let mut inner = hub.lock();
-    let first = open_owner_connection(&mut inner, 100.0).expect("a place");
+    let first = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
     inner.reply(100.0, first, vec![0]);
-    let second = open_owner_connection(&mut inner, 100.0).expect("a place");
-    assert!(open_owner_connection(&mut inner, 100.0).is_some(), "the silent one makes room");
+    let second = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
+    assert!(
+        open_owner_connection(&mut inner, 100.0).is_some(),
+        "the silent connection is closed to make room"
+    );
     assert!(inner.owners.contains_key(&first) && !inner.owners.contains_key(&second));
     inner.owners.values_mut().for_each(|link| link.push(vec![0], 100.0));
     assert_eq!(open_owner_connection(&mut inner, 100.0), None);
@@ -221,7 +227,7 @@
 fn a_partial_request_delays_the_stop() {
     let hub = hub(9);
     let mut inner = hub.lock();
-    let client = open_owner_connection(&mut inner, 100.0).expect("a place");
+    let client = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
     assert!(inner.is_quiet(100.0));
     inner.owners.get_mut(&client).expect("a link").partial_at = Some(100.0);
     assert!(!inner.is_quiet(100.09));
@@ -235,7 +241,7 @@
 fn an_unread_request_counts_from_its_earliest_arrival() {
     let hub = hub(9);
     let mut inner = hub.lock();
-    let client = open_owner_connection(&mut inner, hub.now()).expect("a place");
+    let client = open_owner_connection(&mut inner, hub.now()).expect("the connection limit is not reached");
     let link = |inner: &mut Inner, drained_at| {
         inner.owners.get_mut(&client).expect("a link").drained_at = drained_at
     };
--- a/src/wire/hub/turns.rs
+++ b/src/wire/hub/turns.rs
@@ -1,6 +1,6 @@
 //! The turns of the runtime's thread. In a turn the thread wakes, handles events, and parks until the next
-//! event. Bytes that it reads in a turn may have arrived when the previous turn began, if the thread did not
-//! really wait in between.
+//! event. Bytes that it reads in a turn may have arrived as early as the start of the previous turn, if the
+//! thread waited for less than [`MIN_WAIT_S`] in between.
 
 use crate::placer::Seconds;
 use std::sync::{Mutex, PoisonError};
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Input and output: the platform protocol and the REST API for clients, the links to machines and peers, and
-//! the hub that connects them to the core.
+//! Input and output: the platform protocol and the REST API for clients, the links to machines and peers, the
+//! import of HAR files and access logs, and the hub that connects them to the core.
 
 pub mod errors;
 pub mod hub;
--- a/src/wire/outbox/tests.rs
+++ b/src/wire/outbox/tests.rs
@@ -22,7 +22,7 @@
         assert!(outbox.push(vec![0; 10], Tag::Plain));
         let sink = FailsOnce(Cell::new(Some(code)), 3);
         outbox.write(&sink, &mut Vec::new()).unwrap_or_else(|error| panic!("{name}: {error}"));
-        outbox.write(&sink, &mut Vec::new()).expect("it goes on");
+        outbox.write(&sink, &mut Vec::new()).expect("the second write succeeds");
         assert!(outbox.is_empty(), "{name}");
     }
 }
--- a/src/wire/platform/machine_links.rs
+++ b/src/wire/platform/machine_links.rs
@@ -4,7 +4,7 @@
 mod dial;
 mod end;
 
-use self::dial::{dial, DialBeside, Dialled, PendingDial};
+use self::dial::{dial, BackgroundDial, Dialled, PendingDial};
 use self::end::{half_close, End};
 use super::node::{self, take_line, MachineMessage, FENCE_FLAG};
 use crate::decide::links::{Need, VISIT_AFTER_S};
@@ -42,7 +42,7 @@
 /// once.
 const FIRST_DIAL_SPREAD: Duration = Duration::from_millis(1000);
 
-/// Starts a connection task for each machine that the hub wants connected; `dial` limits the time of a dial.
+/// Starts a link task for each machine that the hub wants connected; `dial` is the time limit of a dial.
 pub async fn run_machine_links(
     hub: Arc<Hub>,
     mut wanted: mpsc::UnboundedReceiver<(MachineId, u64)>,
@@ -66,19 +66,19 @@
 struct Unprocessed {
     /// Bytes that were read and do not form a complete line yet.
     buffer: BytesMut,
-    /// The dial to the same machine that runs beside the connection, if any.
-    beside: DialBeside,
+    /// The dial to the same machine that runs while the connection is in use, if any.
+    background_dial: BackgroundDial,
 }
 
-/// The signals that wake the task of a connection.
+/// The signals that wake a link task.
 struct WakeSignals {
     /// Something is to be written, or the connection is to be closed.
     write: Arc<Notify>,
-    /// Something began that the periodic check of the connection has to observe.
+    /// The next periodic check of the connection may be due earlier.
     check: Arc<Notify>,
 }
 
-/// The task that keeps the connection to one machine.
+/// The link task: keeps the connection to one machine.
 #[derive(Clone)]
 struct LinkTask {
     hub: Arc<Hub>,
@@ -125,13 +125,13 @@
             (RETRY_DELAYS.0, MachineActivity::new(self.hub.now()), false);
         let mut replacement = None;
         if let Some((_, wakes)) = self.address() {
-            // A queued set-up wakes the task and ends this wait.
+            // A queued set-up ends this wait.
             woken_within(&wakes.write, draws.part(FIRST_DIAL_SPREAD)).await;
         }
         let mut given_back_at = None;
         while let Some((address, wakes)) = self.address() {
             let wake = &wakes.write;
-            if !self.acquire_place(wake, &mut draws, given_back_at).await {
+            if !self.acquire_slot(wake, &mut draws, given_back_at).await {
                 continue;
             }
             let dialled = match replacement.take() {
@@ -154,8 +154,8 @@
                     let end = self
                         .serve_connection(&stream, &address, &wakes, &mut draws, &mut unprocessed, &mut signs)
                         .await;
-                    let Unprocessed { buffer, mut beside } = unprocessed;
-                    if let Some(pending_dial) = beside.take() {
+                    let Unprocessed { buffer, mut background_dial } = unprocessed;
+                    if let Some(pending_dial) = background_dial.take() {
                         tokio::spawn(self.clone().drain_dialled(pending_dial));
                     }
                     let end = match end {
@@ -165,11 +165,11 @@
                             continue;
                         }
                         Ok(End::GivenBack) => {
-                            // Nothing is open on it. The place is released after the descriptor has been
-                            // closed.
+                            // Nothing is open on the connection. Its slot is released after the descriptor
+                            // has been closed.
                             self.clone().drain(stream, buffer).await;
                             given_back_at = Some(self.hub.now());
-                            self.hub.lock().release_place(self.hub.now(), machine);
+                            self.hub.lock().release_slot(self.hub.now(), machine);
                             continue;
                         }
                         other => other,
@@ -220,7 +220,7 @@
                     });
                 }
                 Dialled::NoResources => {
-                    // The queue is kept; an unused owner connection is closed to free resources.
+                    // The messages stay queued; an unused owner connection is closed to free resources.
                     tracing::debug!(
                         machine = machine.0,
                         "no descriptor, port or buffer left to dial a machine"
@@ -243,11 +243,11 @@
                 self.fail_probe(Outcome::ConnectFailed);
             }
             {
-                // An unreachable machine does not occupy a place during its back-off while others wait for
+                // An unreachable machine does not occupy a slot during its back-off while others wait for
                 // one.
                 let mut inner = self.hub.lock();
-                if inner.places.is_short() {
-                    inner.release_place(self.hub.now(), machine);
+                if inner.slots.is_short() {
+                    inner.release_slot(self.hub.now(), machine);
                 }
             }
             // The back-off keeps the planner from dialling in a tight loop where each new connection is
@@ -259,24 +259,25 @@
         self.report_departed(true);
     }
 
-    /// Whether the connection has a place among the limited number of connections. If not, waits until there
-    /// may be one: the task is woken once a place is free or something is to be written, and asks again after
-    /// [`VISIT_AFTER_S`] otherwise, because a machine with running tasks has to be visited regularly.
-    async fn acquire_place(&self, wake: &Notify, draws: &mut Draws, given_back_at: Option<Seconds>) -> bool {
-        let (wait, had) = {
+    /// Requests a slot for the connection and returns whether it has one. If not, first waits until a slot is
+    /// assigned or something is to be written, at most [`VISIT_AFTER_S`], because a machine with running
+    /// tasks has to be visited regularly. A machine whose slot was given back is visited again only after
+    /// about that time.
+    async fn acquire_slot(&self, wake: &Notify, draws: &mut Draws, given_back_at: Option<Seconds>) -> bool {
+        let (wait, has_slot) = {
             let mut inner = self.hub.lock();
             let (now, need) = (self.hub.now(), inner.need(self.machine));
             let visit_in = given_back_at.map_or(0.0, |at| at + VISIT_AFTER_S - now);
-            if need == Need::Visit && visit_in > 0.0 && !inner.places.is_held(self.machine) {
+            if need == Need::Visit && visit_in > 0.0 && !inner.slots.is_held(self.machine) {
                 (visit_in * (0.75 + 0.25 * draws.draw()), false)
             } else {
-                (VISIT_AFTER_S, inner.want_place(now, self.machine, need))
+                (VISIT_AFTER_S, inner.want_slot(now, self.machine, need))
             }
         };
-        if !had {
+        if !has_slot {
             woken_within(wake, to_duration(wait)).await;
         }
-        had
+        has_slot
     }
 
     /// Reads and writes one connection until it ends or a newer one replaces it. Keeps `signs` up to date:
@@ -290,7 +291,7 @@
         unprocessed: &mut Unprocessed,
         signs: &mut MachineActivity,
     ) -> io::Result<End> {
-        let Unprocessed { buffer, beside } = unprocessed;
+        let Unprocessed { buffer, background_dial } = unprocessed;
         let mut watch = Watch::new(self.hub.now());
         let (mut sent, mut partial_line_since) = (Vec::new(), None::<Seconds>);
         let mut checks = CheckSchedule::new(self.hub.now() + CHECK_INTERVAL_S * draws.draw());
@@ -299,12 +300,12 @@
         loop {
             *signs = watch.signs();
             if self.has_unsent_set_up() {
-                // Reads whatever has arrived before a set-up is written, so that no attempt is written to a
-                // connection that the machine has closed already: the attempt never ran, and is written to
-                // the next connection.
-                let unprocessed = buffer.len();
+                // Reads everything that has arrived before a set-up is written, so that no attempt is written
+                // to a connection that the machine has already closed: it could not run, and is written to
+                // the next connection instead.
+                let buffered = buffer.len();
                 let read_state = read_available(stream, buffer);
-                if buffer.len() > unprocessed {
+                if buffer.len() > buffered {
                     self.receive(buffer, &mut watch, &mut partial_line_since)?;
                 }
                 match read_state {
@@ -339,7 +340,7 @@
                 Written::Blocked | Written::NoBuffers => Interest::READABLE | Interest::WRITABLE,
             };
             tokio::select! {
-                () = wakes.write.notified() => self.hub.lock().places.used(self.hub.now(), self.machine),
+                () = wakes.write.notified() => self.hub.lock().slots.used(self.hub.now(), self.machine),
                 () = wakes.check.notified() => {}
                 () = &mut timer, if check_at.is_some() => {
                     let now = self.hub.now();
@@ -353,13 +354,13 @@
                         ));
                     }
                     if open.is_short {
-                        self.hub.lock().reclaim_places(now);
+                        self.hub.lock().reclaim_slots(now);
                     }
                     if open.is_probe_late(now) {
                         self.fail_probe(Outcome::TimedOut);
                     }
                     match watch.check(now, open.holds_tasks, draws.draw()) {
-                        Step::Dial => beside.begin(address, self.dial),
+                        Step::Dial => background_dial.begin(address, self.dial),
                         step => {
                             if let Some(end) = self.apply_step(step, None, &watch, signs)? {
                                 return Ok(end);
@@ -367,12 +368,12 @@
                         }
                     }
                 }
-                dialled = beside.ended() => {
+                dialled = background_dial.ended() => {
                     let dial = dialled.kind();
                     if dial != Dial::Short {
                         self.record_unreachable(dial == Dial::Silent);
                     }
-                    let is_open = self.hub.lock().has_open_attempt_at(self.machine);
+                    let is_open = self.hub.lock().has_open_work_at(self.machine);
                     let step = watch.dialled(self.hub.now(), dial, is_open);
                     if let Some(end) = self.apply_step(step, dialled.up(), &watch, signs)? {
                         return Ok(end);
@@ -401,8 +402,8 @@
         }
     }
 
-    /// Carries out a step that the watch over a silent connection asked for; `other` is the connection that a
-    /// dial beside it has brought up. Returns how the current connection ends, if it does.
+    /// Carries out a step of the failure detection for a silent connection; `other` is the connection that a
+    /// background dial has opened. Returns how the current connection ends, if it does.
     fn apply_step(
         &self,
         step: Step,
@@ -418,11 +419,12 @@
                     tokio::spawn(self.clone().drain(other, BytesMut::new()));
                 }
             }
-            Step::ProvokeReset => self.hub.lock().nudge_machine(self.machine),
+            Step::ProvokeReset => self.hub.lock().provoke_reset(self.machine),
             Step::Lost => self.send_input(Input::MachineLost { machine: self.machine, proved: false }),
             Step::Close => {
                 *signs = watch.signs();
-                // The open attempts are given up with the connection; running tasks may be waited for.
+                // Closing the connection abandons its open attempts. Running tasks are still waited for,
+                // unless the machine counts as lost.
                 let (dials, quiet_s) = (signs.failed_dials, self.hub.now() - signs.last_sign);
                 if dials > 0 && is_lost(dials, quiet_s, self.record_unreachable(true)) {
                     self.send_input(Input::MachineLost { machine: self.machine, proved: false });
@@ -453,14 +455,14 @@
             .is_some_and(|l| l.link_id == self.link_id && l.outbox.has_unsent_set_up())
     }
 
-    /// Processes the lines received on the current connection, and updates its watch.
+    /// Processes the lines received on the current connection, and updates its failure detection.
     fn receive(
         &self,
         buffer: &mut BytesMut,
         watch: &mut Watch,
         partial_line_since: &mut Option<Seconds>,
     ) -> io::Result<()> {
-        self.hub.lock().places.used(self.hub.now(), self.machine);
+        self.hub.lock().slots.used(self.hub.now(), self.machine);
         let about_task = self.process_lines(buffer)?;
         watch.heard(self.hub.now(), about_task);
         *partial_line_since = (!buffer.is_empty()).then(|| self.hub.now());
@@ -499,14 +501,14 @@
         }
     }
 
-    /// Applies one message of the machine; drops the answer to a probe that has been given up.
+    /// Applies one message of the machine; drops the answer to a probe that has already failed.
     fn apply_message(&self, message: MachineMessage) {
         let machine = self.machine;
         let mut inner = self.hub.lock();
         if matches!(message, MachineMessage::Checked { number, .. } if number & FENCE_FLAG == 0) {
-            let asked = inner.machine_links.get_mut(&machine).and_then(|l| l.probe.take());
-            if asked.is_none() {
-                return; // The probe has timed out already.
+            let probe = inner.machine_links.get_mut(&machine).and_then(|l| l.probe.take());
+            if probe.is_none() {
+                return; // The probe has failed already, by its time-out for example.
             }
         }
         let Some(input) = message.input(machine, inner.core.vocabulary()) else { return };
--- a/src/wire/platform/machine_links/dial.rs
+++ b/src/wire/platform/machine_links/dial.rs
@@ -1,4 +1,4 @@
-//! Dials to machines, and the dial beside a connection that is in use.
+//! Dials to machines, and the dial that runs in the background while a connection is in use.
 
 use crate::decide::silence::Dial;
 use crate::wire::errors::is_shortage;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The result without its connection, for the watch.
+    /// The result without its connection, for the failure detection.
     pub fn kind(&self) -> Dial {
         match self {
             Dialled::Up(_) => Dial::Up,
@@ -70,14 +70,14 @@
 /// A dial that is under way.
 pub type PendingDial = Pin<Box<dyn Future<Output = Dialled> + Send>>;
 
-/// A dial that runs beside a connection in use, if any. The connection is served meanwhile: no write waits
-/// for a dial that hangs.
+/// The dial that runs while a connection to the same machine is in use, if any. The connection is served
+/// meanwhile: no write waits for a dial that hangs.
 #[derive(Default)]
-pub struct DialBeside {
+pub struct BackgroundDial {
     pending_dial: Option<PendingDial>,
 }
 
-impl DialBeside {
+impl BackgroundDial {
     /// Begins a dial, unless one is under way.
     pub fn begin(&mut self, address: &str, limit: Duration) {
         if self.pending_dial.is_none() {
--- a/src/wire/platform/machine_links/end.rs
+++ b/src/wire/platform/machine_links/end.rs
@@ -11,8 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a machine has to close a connection after this planner has closed its side: the same time as for
-/// a health check.
+/// How long a machine has to close a connection after this planner has closed its side: as long as it has to
+/// answer a probe (`PROBE_TIMEOUT_S`).
 const MACHINE_CLOSE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How a connection ended without an error.
--- a/src/wire/platform/machine_links/tests.rs
+++ b/src/wire/platform/machine_links/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards running tasks and open attempts against being given up after errors that prove nothing. Only a
+/// Guards running tasks and open attempts against being abandoned after errors that prove nothing. Only a
 /// refused connection proves that no process listens; a shortage in this planner says nothing about the
 /// machine.
 #[test]
--- a/src/wire/platform/machine_list.rs
+++ b/src/wire/platform/machine_list.rs
@@ -32,7 +32,7 @@
     pub known: Arc<KnownEvents>,
 }
 
-/// Follows the machine list for as long as the program runs, also to a new address in a reloaded
+/// Follows the machine list for as long as the program runs. After a reload it follows the address in the new
 /// configuration; the revision numbers continue there.
 pub async fn follow_machine_list(hub: Arc<Hub>, mut source: Receiver<Source>, mut rev: u64) {
     let mut wait = RETRY_DELAYS.0;
@@ -54,8 +54,8 @@
         };
         tokio::select! {
             () = followed => {}
-            moved = source.changed() => {
-                if moved.is_err() {
+            source_changed = source.changed() => {
+                if source_changed.is_err() {
                     return;
                 }
                 wait = RETRY_DELAYS.0;
@@ -70,7 +70,7 @@
     stream.set_nodelay(true)?;
     timeout(SILENCE_TIMEOUT, write_all(&stream, &board::watch(*rev))).await??;
     let (mut buffer, mut is_live) = (BytesMut::new(), false);
-    // Bytes that do not complete a line do not count as a sign of life until there are enough of them.
+    // Bytes of an incomplete line count as a sign of life only once there are SIGN_OF_LIFE_BYTES of them.
     let (mut silent_at, mut bytes_since_sign) = (Instant::now() + SILENCE_TIMEOUT, 0);
     loop {
         let read = timeout_at(silent_at, read_some(&stream, &mut buffer)).await??;
--- a/src/wire/platform/mod.rs
+++ b/src/wire/platform/mod.rs
@@ -1,5 +1,5 @@
 //! The platform protocol: binary messages of owners, JSON lines of machines, and the machine list of the
-//! discovery service. Connections and encoding alone; all decisions are made by the core.
+//! discovery service. This module handles connections and encoding; the core makes all decisions.
 //!
 //! Nothing here sends datagrams to peers: by design each planner counts only its own placements.
 
--- a/src/wire/platform/node.rs
+++ b/src/wire/platform/node.rs
@@ -1,8 +1,8 @@
 //! Encoding and decoding of the JSON lines exchanged with machines; pure functions on bytes.
 //!
-//! A set-up (`launch`) asks a machine to start a task; a `stop` releases one. A `check` is a health check,
-//! which the machine answers; with [`FENCE_FLAG`] in its number the answer proves that everything written before
-//! it has been received.
+//! A set-up (`launch`) asks a machine to start a task; a `stop` releases one. The machine answers each
+//! `check`: it is a probe (a health check) or, with [`FENCE_FLAG`] in its number, a fence, whose answer
+//! proves that the machine has received everything that was written before it.
 
 use crate::placer::*;
 use crate::state::{Input, Spec};
@@ -35,7 +35,7 @@
     pub const RESET: u8 = 41;
     /// The planner is overloaded, or a limit is reached.
     pub const BUSY: u8 = 42;
-    /// The attempt failed.
+    /// The attempt or the job failed.
     pub const ERROR: u8 = 47;
     /// The set-up is invalid.
     pub const UNREADABLE: u8 = 100;
@@ -72,17 +72,17 @@
         why: Reason,
         load: Option<Load>,
     },
-    /// The answer to a health check.
+    /// The answer to a probe or a fence.
     Checked {
-        /// The number of the check.
+        /// The number of the `check`.
         number: u64,
         passed: bool,
         load: Option<Load>,
     },
     /// An update about a running task.
     Note { job: RequestId, note: Note },
-    /// A message without meaning for the planner.
-    Free,
+    /// A valid message that the planner ignores.
+    Ignored,
 }
 
 impl MachineMessage {
@@ -102,7 +102,7 @@
                 Input::Probed { machine, outcome, report: report(load) }
             }
             MachineMessage::Note { job, note } => Input::Noted { machine, job, note },
-            MachineMessage::Free => return None,
+            MachineMessage::Ignored => return None,
         })
     }
 }
@@ -172,7 +172,7 @@
             MachineMessage::Stopped { job: job()?, before, after, why, load: load() }
         }
         "checked" => {
-            // A check belongs to no job. An answer with an invalid number shows only that the machine is up.
+            // A check belongs to no job. An answer with an invalid number proves only that the machine is up.
             let number = u64::from_str_radix(&line.uid, 16).unwrap_or(0);
             MachineMessage::Checked { number, passed: line.reason != Some(0), load: load() }
         }
@@ -184,10 +184,10 @@
                 Some("m") => MachineMessage::Note { job: job()?, note: Note::MemoryUsed(value) },
                 Some("s") => MachineMessage::Note { job: job()?, note: Note::Served(value) },
                 Some("p") => MachineMessage::Note { job: job()?, note: Note::MachineMemory(value) },
-                _ => MachineMessage::Free,
+                _ => MachineMessage::Ignored,
             }
         }
-        "staging" | "stopped" => MachineMessage::Free,
+        "staging" | "stopped" => MachineMessage::Ignored,
         _ => return Err(Malformed::Value("type")),
     })
 }
@@ -245,14 +245,14 @@
     pub attempt: AttemptNo,
     /// When the planner stops waiting for its answer.
     pub until: Seconds,
-    /// The number of the check with [`FENCE_FLAG`] that is written right before it, if any.
+    /// The number of the fence that is written right before it, if any.
     pub fence: Option<u64>,
     pub spec: Arc<Spec>,
 }
 
 impl SetUp {
-    /// The bytes of the set-up if it is written at `now`, and of the check before it. They form one queued
-    /// message, so that the check is always written together with the set-up.
+    /// The bytes of the fence, if any, and of the set-up if it is written at `now`. They form one queued
+    /// message, so that the fence is always written together with the set-up.
     pub fn lines(&self, now: Seconds) -> Vec<u8> {
         let mut lines = self.fence.map_or_else(Vec::new, |ask| check(FENCE_FLAG | ask));
         lines.extend(launch(self.job, self.until - now, &self.spec));
@@ -275,11 +275,11 @@
     line(json!({"kind": "staging", "uid": uid(job), "meta": {}}))
 }
 
-/// Bit that marks the number of a check whose answer proves that the machine received everything written
-/// before it.
+/// The bit in the number of a `check` that marks a fence: the answer proves that the machine has received
+/// everything that was written before it.
 pub const FENCE_FLAG: u64 = 1 << 63;
 
-/// A health check; the machine answers with a load report.
+/// The `check` message of a probe or a fence; the machine answers a probe with a load report.
 pub fn check(number: u64) -> Vec<u8> {
     line(json!({"kind": "check", "uid": format!("{number:016x}"), "meta": {}, "reason": 1}))
 }
--- a/src/wire/platform/owners.rs
+++ b/src/wire/platform/owners.rs
@@ -23,7 +23,7 @@
 const READ_BYTES: usize = 16 * 1024;
 /// Wait before the next accept after one that failed because a resource, such as a descriptor, ran out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Count. Failed accepts that are tolerated while a stopping planner empties the accept backlog.
+/// Count. Failed accepts that are tolerated while a stopping planner empties the listen backlog.
 const MAX_ACCEPT_FAILURES: u32 = 100;
 /// Time between two checks whether a connection is still in use.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -204,8 +204,8 @@
     }
 }
 
-/// Stops reading from a connection for the reason `why`, which is returned; open jobs of the connection are
-/// still answered.
+/// Stops reading from a connection and returns the reason `why`; open jobs of the connection are still
+/// answered.
 fn stop_reading(hub: &Hub, id: u64, why: io::Error) -> io::Error {
     hub.apply(Input::OwnerFaulty { link: id });
     why
@@ -240,7 +240,7 @@
                 read_result.invalid += invalid;
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                hub.lock().client_drained(hub.now(), id);
+                hub.lock().owner_drained(hub.now(), id);
                 break;
             }
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -318,7 +318,7 @@
     let set_up = message.set_up()?;
     let at = set_up.at.clone();
     let class = core.vocabulary().class(&set_up.class).ok_or(Malformed::Value("class"))?;
-    let ask = ask(job, link, now, class, set_up);
+    let ask = submission(job, link, now, class, set_up);
     // A task that already runs on a machine was admitted before, and needs no admission check.
     if let Some(name) = at {
         return Ok(Input::Adopt { ask, machine: core.vocabulary().machine(&name) });
@@ -331,7 +331,7 @@
 }
 
 /// The job that a set-up asks for; the deadline counts from `now`.
-fn ask(job: RequestId, link: u64, now: Seconds, class: usize, set_up: SetUp) -> JobSubmission {
+fn submission(job: RequestId, link: u64, now: Seconds, class: usize, set_up: SetUp) -> JobSubmission {
     let task = Task {
         class,
         tenant: None,
--- a/src/wire/platform/tests.rs
+++ b/src/wire/platform/tests.rs
@@ -33,5 +33,5 @@
         read += valid.iter().filter(|w| **w).count();
         refused += valid.iter().filter(|w| !**w).count();
     }
-    assert!(read > 3_000 && refused > 3_000, "both ways are taken: {read}, {refused}");
+    assert!(read > 3_000 && refused > 3_000, "too few inputs of one kind: {read} valid, {refused} malformed");
 }
