--- a/src/wire/hub.rs
+++ b/src/wire/hub.rs
@@ -58,7 +58,7 @@
     /// Connections of owners by their ids.
     pub owners: BTreeMap<u64, OwnerLink>,
     /// Addresses of owners by the ids of their connections, also of some that have closed.
-    origins: BTreeMap<u64, IpAddr>,
+    owner_addresses: BTreeMap<u64, IpAddr>,
     /// Releases that wait for their owner to reconnect.
     orphans: VecDeque<Orphan>,
     effects: Vec<Effect>,
@@ -121,7 +121,7 @@
             core,
             machine_links: BTreeMap::new(),
             owners: BTreeMap::new(),
-            origins: BTreeMap::new(),
+            owner_addresses: BTreeMap::new(),
             orphans: VecDeque::new(),
             effects: Vec::new(),
             bounds,
--- a/src/wire/hub/client_connections.rs
+++ b/src/wire/hub/client_connections.rs
@@ -21,7 +21,7 @@
 /// Seconds. How long a release waits for its owner to reconnect.
 const ORPHAN_TTL_S: Seconds = 10.0;
 /// Count. Connections of owners, closed ones included, whose address is remembered.
-const MAX_ORIGINS: usize = 4096;
+const MAX_OWNER_ADDRESSES: usize = 4096;
 
 /// Seconds. A connection on which nothing was ever sent to its owner, and nothing is open, is closed after
 /// this time.
@@ -35,7 +35,8 @@
 const PARTIAL_GRACE_S: Seconds = 0.1;
 /// Seconds. A connection that was read until no bytes were left counts as drained for this time.
 const DRAINED_VALID_S: Seconds = 0.05;
-/// Seconds. A connection whose owner has not read its last answer for this time is closed.
+/// Seconds. A connection whose owner has not read its last answer for this time is closed: the owner is
+/// assumed never to read it.
 const READ_TIMEOUT_S: Seconds = 5.0;
 
 /// Whether the receive buffer of a connection holds unread bytes; also true where the system is too short of
@@ -115,7 +116,7 @@
     /// the next one.
     pub(super) fn write_to_owner(&mut self, now: Seconds, owner: Owner, bytes: Vec<u8>, is_task_end: bool) {
         let Owner::Link(origin) = owner else { return };
-        let ip = self.origins.get(&origin).copied();
+        let ip = self.owner_addresses.get(&origin).copied();
         let same = |l: &OwnerLink| ip.is_none_or(|ip| ip == l.ip);
         let other = |links: &BTreeMap<u64, OwnerLink>| {
             links.iter().rev().find(|(_, l)| l.closing.is_none() && same(l)).map(|(&id, _)| id)
@@ -163,15 +164,15 @@
             closing: None,
         };
         self.orphans.retain_mut(|orphan| {
-            let fits = orphan.ip.is_none_or(|other| other == ip);
-            if fits {
+            let is_same_owner = orphan.ip.is_none_or(|other| other == ip);
+            if is_same_owner {
                 link.push_as(std::mem::take(&mut orphan.bytes), now, Tag::Reroute);
             }
-            !fits && now - orphan.at < ORPHAN_TTL_S
+            !is_same_owner && now - orphan.at < ORPHAN_TTL_S
         });
-        self.origins.insert(id, ip);
-        if self.origins.len() > MAX_ORIGINS {
-            self.origins.pop_first();
+        self.owner_addresses.insert(id, ip);
+        if self.owner_addresses.len() > MAX_OWNER_ADDRESSES {
+            self.owner_addresses.pop_first();
         }
         self.owners.insert(id, link);
         Some((id, wake))
@@ -236,7 +237,10 @@
         let Some(stream) = link.stream.as_ref().filter(|_| now - link.drained_at >= DRAINED_VALID_S) else {
             return true;
         };
-        let is_drained = matches!(peek(stream), Err(error) if error.kind() == io::ErrorKind::WouldBlock || is_shortage(&error));
+        let is_drained = matches!(
+            peek(stream),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock || is_shortage(&error)
+        );
         if is_drained {
             link.drained_at = now;
         }
--- a/src/wire/hub/tests.rs
+++ b/src/wire/hub/tests.rs
@@ -36,9 +36,9 @@
         Bounds { owners: 9, owner_queue: 4096, machine_queue: 4096, links: 9 },
         Arc::default(),
     );
-    let name = hub.lock().core.vocabulary().machine("b");
+    let machine_id = hub.lock().core.vocabulary().machine("b");
     let entry = Entry {
-        machine: name,
+        machine: machine_id,
         key: MachineKey(1),
         zone: ZoneId(0),
         cell: CellId(0),
@@ -56,7 +56,7 @@
     let task = Task { class, tenant: None, service, room, deadline, expected_runtime_s: None, limits };
     let spec = Arc::new(Spec { class: "c".into(), body: "x".into(), ..Spec::default() });
     hub.apply(Input::Submit(JobSubmission { job: RequestId(1), owner: Owner::Link(owner), spec, task }));
-    (hub, name, owner)
+    (hub, machine_id, owner)
 }
 
 /// Guards rule 2: a set-up that was written, completely or in part, before its connection broke during the
@@ -64,15 +64,15 @@
 #[test]
 fn a_partly_written_set_up_counts_as_sent() {
     for taken in [0, 10, 1 << 20] {
-        let (hub, name, owner) = hub_with_queued_job("once", 5.0);
-        let link_id = hub.lock().machine_links[&name].link_id;
+        let (hub, machine_id, owner) = hub_with_queued_job("once", 5.0);
+        let link_id = hub.lock().machine_links[&machine_id].link_id;
         let written =
-            hub.flush_to_machine((name, link_id, "a:1"), &FailingSink(taken.into()), &mut Vec::new());
+            hub.flush_to_machine((machine_id, link_id, "a:1"), &FailingSink(taken.into()), &mut Vec::new());
         // After a complete write the error shows only at the next write.
         assert_eq!(written.is_err(), taken < 1 << 20);
-        hub.lock().machine_links.get_mut(&name).expect("a link").outbox.reset();
-        hub.apply(Input::LinkBroken { machine: name, proved: true });
-        let waits = !hub.lock().machine_links[&name].outbox.is_empty();
+        hub.lock().machine_links.get_mut(&machine_id).expect("a link").outbox.reset();
+        hub.apply(Input::LinkBroken { machine: machine_id, proved: true });
+        let waits = !hub.lock().machine_links[&machine_id].outbox.is_empty();
         let answered = !hub.lock().owners[&owner].outbox.is_empty();
         assert_eq!((waits, answered), (taken == 0, taken > 0), "{taken} bytes written");
     }
@@ -82,13 +82,13 @@
 /// set-up past its deadline is not written, although its alarm has not run yet.
 #[test]
 fn an_expired_set_up_is_not_written() {
-    let (hub, name, owner) = hub_with_queued_job("repeatable", 0.1);
-    let link_id = hub.lock().machine_links[&name].link_id;
-    assert!(!hub.lock().machine_links[&name].outbox.is_empty(), "it is queued");
+    let (hub, machine_id, owner) = hub_with_queued_job("repeatable", 0.1);
+    let link_id = hub.lock().machine_links[&machine_id].link_id;
+    assert!(!hub.lock().machine_links[&machine_id].outbox.is_empty(), "it is queued");
     std::thread::sleep(Duration::from_millis(150));
     let failing_sink = FailingSink(0.into());
-    let waits = hub.flush_to_machine((name, link_id, "a:1"), &failing_sink, &mut Vec::new());
-    assert_eq!(waits.expect("nothing is written"), Some(Written::All));
+    let written = hub.flush_to_machine((machine_id, link_id, "a:1"), &failing_sink, &mut Vec::new());
+    assert_eq!(written.expect("nothing is written"), Some(Written::All));
     assert!(!hub.lock().owners[&owner].outbox.is_empty(), "its owner is answered");
 }
 
@@ -112,8 +112,8 @@
     }
 }
 
-/// Guards a request that has arrived but is not read yet: its connection is not closed to make room for
-/// another, although no job is open on it.
+/// Guards a request that has arrived but is not read yet: its connection counts as in use although no job is
+/// open on it, and is not closed to make room for another.
 #[tokio::test]
 async fn a_connection_with_unread_bytes_is_not_closed() {
     let hub = hub(1);
@@ -184,11 +184,11 @@
 /// it is written.
 #[test]
 fn a_queued_set_up_states_the_remaining_time() {
-    let (hub, name, _) = hub_with_queued_job("repeatable", 1.0);
-    let link_id = hub.lock().machine_links[&name].link_id;
+    let (hub, machine_id, _) = hub_with_queued_job("repeatable", 1.0);
+    let link_id = hub.lock().machine_links[&machine_id].link_id;
     std::thread::sleep(Duration::from_millis(250));
     let machine = RecordingSink::default();
-    hub.flush_to_machine((name, link_id, "a:1"), &machine, &mut Vec::new()).expect("it is written");
+    hub.flush_to_machine((machine_id, link_id, "a:1"), &machine, &mut Vec::new()).expect("it is written");
     let line: serde_json::Value = serde_json::from_slice(&machine.0.borrow()).expect("a set-up");
     let left_ms: u64 = line["meta"]["left"].as_str().expect("a time").parse().expect("a number");
     assert!((1..=750).contains(&left_ms), "{left_ms} ms left of 1000 after 250");
@@ -198,7 +198,7 @@
 /// unread.
 #[tokio::test]
 async fn no_attempt_starts_while_the_close_of_its_client_is_unread() {
-    let (hub, name, owner) = hub_with_queued_job("repeatable", 5.0);
+    let (hub, machine_id, owner) = hub_with_queued_job("repeatable", 5.0);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = std::net::TcpStream::connect(listener.local_addr().expect("its address")).expect("up");
     let (stream, _) = listener.accept().await.expect("a connection");
@@ -212,12 +212,12 @@
     }
     // Longer than a connection counts as read after its last read.
     std::thread::sleep(Duration::from_millis(100));
-    let link_id = hub.lock().machine_links[&name].link_id;
+    let link_id = hub.lock().machine_links[&machine_id].link_id;
     let machine = RecordingSink::default();
-    hub.flush_to_machine((name, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
+    hub.flush_to_machine((machine_id, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
     assert!(machine.0.borrow().is_empty(), "an attempt began");
     hub.apply(Input::OwnerGone { link: owner });
-    hub.flush_to_machine((name, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
+    hub.flush_to_machine((machine_id, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
     assert!(machine.0.borrow().is_empty(), "an attempt began after its client's close was processed");
 }
 
--- a/src/wire/platform/machine_links.rs
+++ b/src/wire/platform/machine_links.rs
@@ -6,7 +6,7 @@
 
 use self::dial::{dial, BackgroundDial, Dialled, PendingDial};
 use self::end::{half_close, End};
-use super::node::{self, take_line, MachineMessage, FENCE_FLAG};
+use super::node::{self, take_line, MachineMessage, FENCE_FLAG, MAX_LINE_BYTES};
 use crate::decide::links::{Need, VISIT_AFTER_S};
 use crate::decide::silence::checks::{CheckSchedule, CHECK_INTERVAL_S};
 use crate::decide::silence::{is_lost, Dial, MachineActivity, Step, Watch};
@@ -482,7 +482,8 @@
     fn process_lines(&self, buffer: &mut BytesMut) -> io::Result<bool> {
         let mut about_task = false;
         loop {
-            let too_long = |e| io::Error::new(io::ErrorKind::InvalidData, format!("{e}"));
+            let too_long =
+                |e| io::Error::new(io::ErrorKind::InvalidData, format!("{e}: over {MAX_LINE_BYTES} bytes"));
             let Some((length, line)) = take_line(buffer, node::MAX_LINE_BYTES).map_err(too_long)? else {
                 return Ok(about_task);
             };
--- a/src/wire/platform/machine_list.rs
+++ b/src/wire/platform/machine_list.rs
@@ -1,7 +1,7 @@
 //! Follows the machine list of the discovery service (the notice board of the `board` setting): connects,
 //! resumes after the last known event, and reconnects after every failure.
 
-use super::board::{self, Event, KnownEvents, Line};
+use super::board::{self, Event, KnownEvents, Line, MAX_LINE_BYTES};
 use super::node::take_line;
 use crate::placer::ListKind;
 use crate::wire::errors::is_transient;
@@ -82,7 +82,8 @@
             (silent_at, bytes_since_sign) = (Instant::now() + SILENCE_TIMEOUT, 0);
         }
         loop {
-            let too_long = |e| io::Error::new(io::ErrorKind::InvalidData, format!("{e}"));
+            let too_long =
+                |e| io::Error::new(io::ErrorKind::InvalidData, format!("{e}: over {MAX_LINE_BYTES} bytes"));
             let Some((length, line)) = take_line(&buffer, board::MAX_LINE_BYTES).map_err(too_long)? else {
                 break;
             };
--- a/src/wire/platform/node.rs
+++ b/src/wire/platform/node.rs
@@ -20,7 +20,7 @@
 /// Bytes. The longest line, its line feed included.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// Seconds. Longer than any planner waits for an answer.
+/// Seconds. Longer than any planner waits for an answer: [`fits`] assumes this time in a set-up.
 const MAX_LEFT_S: Seconds = 1e9;
 
 /// Cause codes of releases.
@@ -139,12 +139,12 @@
 
 /// Finds the line at the front of `bytes`: returns how many bytes it takes and the line without its line
 /// feed, or nothing while it is incomplete.
-pub fn take_line(bytes: &[u8], most: usize) -> Result<Option<(usize, &[u8])>, Malformed> {
+pub fn take_line(bytes: &[u8], max_bytes: usize) -> Result<Option<(usize, &[u8])>, Malformed> {
     let mut input = Partial::new(bytes);
     let line = terminated(take_while(0.., |b| b != b'\n'), b'\n');
     match { line }.parse_next(&mut input) {
-        Ok(line) if line.len() < most => Ok(Some((line.len() + 1, line))),
-        Err(ErrMode::<ContextError>::Incomplete(_)) if bytes.len() < most => Ok(None),
+        Ok(line) if line.len() < max_bytes => Ok(Some((line.len() + 1, line))),
+        Err(ErrMode::<ContextError>::Incomplete(_)) if bytes.len() < max_bytes => Ok(None),
         _ => Err(Malformed::Long),
     }
 }
--- a/src/wire/platform/owner.rs
+++ b/src/wire/platform/owner.rs
@@ -45,6 +45,7 @@
     pub const CLASS: u8 = 3;
     pub const WAIT: u8 = 4;
     pub const NAME: u8 = 7;
+    /// Named values: `name:value` pairs, separated by `;`.
     pub const FIGURES: u8 = 8;
     pub const RETRY_AFTER: u8 = 9;
     pub const KEY: u8 = 16;
