--- a/src/wire/hub/client_connections.rs
+++ b/src/wire/hub/client_connections.rs
@@ -21,7 +21,7 @@
 /// Seconds. How long a release waits for its owner to reconnect.
 const ORPHAN_TTL_S: Seconds = 10.0;
 /// Count. Connections of owners, closed ones included, whose address is remembered.
-const MAX_ORIGINS: usize = 4096;
+const MAX_OWNER_ADDRESSES: usize = 4096;
 
 /// Seconds. A connection on which nothing was ever sent to its owner, and nothing is open, is closed after
 /// this time.
@@ -33,9 +33,10 @@
 /// Seconds. A stopping planner waits this long after the last byte of an incomplete message for the rest of
 /// it.
 const PARTIAL_GRACE_S: Seconds = 0.1;
-/// Seconds. A connection that was read until nothing was left counts as read for this time.
+/// Seconds. A connection that was read until no bytes were left counts as drained for this time.
 const DRAINED_VALID_S: Seconds = 0.05;
-/// Seconds. A connection whose owner has not read its last answer for this time is closed.
+/// Seconds. A connection whose owner has not read its last answer for this time is closed: the owner is
+/// assumed never to read it.
 const READ_TIMEOUT_S: Seconds = 5.0;
 
 /// Whether the receive buffer of a connection holds unread bytes; also true where the system is too short of
@@ -115,7 +116,7 @@
     /// the next one.
     pub(super) fn write_to_owner(&mut self, now: Seconds, owner: Owner, bytes: Vec<u8>, is_task_end: bool) {
         let Owner::Link(origin) = owner else { return };
-        let ip = self.origins.get(&origin).copied();
+        let ip = self.owner_addresses.get(&origin).copied();
         let same = |l: &OwnerLink| ip.is_none_or(|ip| ip == l.ip);
         let other = |links: &BTreeMap<u64, OwnerLink>| {
             links.iter().rev().find(|(_, l)| l.closing.is_none() && same(l)).map(|(&id, _)| id)
@@ -163,15 +164,15 @@
             closing: None,
         };
         self.orphans.retain_mut(|orphan| {
-            let fits = orphan.ip.is_none_or(|other| other == ip);
-            if fits {
+            let is_same_owner = orphan.ip.is_none_or(|other| other == ip);
+            if is_same_owner {
                 link.push_as(std::mem::take(&mut orphan.bytes), now, Tag::Reroute);
             }
-            !fits && now - orphan.at < ORPHAN_TTL_S
+            !is_same_owner && now - orphan.at < ORPHAN_TTL_S
         });
-        self.origins.insert(id, ip);
-        if self.origins.len() > MAX_ORIGINS {
-            self.origins.pop_first();
+        self.owner_addresses.insert(id, ip);
+        if self.owner_addresses.len() > MAX_OWNER_ADDRESSES {
+            self.owner_addresses.pop_first();
         }
         self.owners.insert(id, link);
         Some((id, wake))
@@ -180,7 +181,7 @@
     /// Closes the least useful connection: a silent one before an idle one, an idle one before one with
     /// running tasks, and among equals the least recently used. Returns `None` where none can be closed.
     pub fn make_room(&mut self) -> Option<()> {
-        let use_of = |(&id, link): (&u64, &OwnerLink)| {
+        let eviction_key = |(&id, link): (&u64, &OwnerLink)| {
             let link_load = self.core.link_load(id);
             let free = link_load.open == 0 && link.outbox.is_empty();
             free.then_some((
@@ -188,7 +189,7 @@
                 id,
             ))
         };
-        let mut free: Vec<_> = self.owners.iter().filter_map(use_of).collect();
+        let mut free: Vec<_> = self.owners.iter().filter_map(eviction_key).collect();
         free.sort_unstable();
         // Unread bytes have been acknowledged by the system and would be lost with the connection.
         let unread = |id: &u64| {
@@ -229,52 +230,56 @@
         silent.then_some("no request within the time limit").or(idle.then_some("idle"))
     }
 
-    /// Whether everything that a client has sent, a close included, was read up to at most
-    /// [`DRAINED_VALID_S`] ago.
-    fn is_drained(&mut self, now: Seconds, client: u64) -> bool {
-        let Some(link) = self.owners.get_mut(&client) else { return true };
+    /// Whether a connection is drained: everything that its owner has sent, a close included, has been read,
+    /// as of [`DRAINED_VALID_S`] ago or later.
+    fn is_drained(&mut self, now: Seconds, owner_link: u64) -> bool {
+        let Some(link) = self.owners.get_mut(&owner_link) else { return true };
         let Some(stream) = link.stream.as_ref().filter(|_| now - link.drained_at >= DRAINED_VALID_S) else {
             return true;
         };
-        let is_drained = matches!(peek(stream), Err(error) if error.kind() == io::ErrorKind::WouldBlock || is_shortage(&error));
+        let is_drained = matches!(
+            peek(stream),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock || is_shortage(&error)
+        );
         if is_drained {
             link.drained_at = now;
         }
         is_drained
     }
 
-    /// Holds back the set-ups for a machine whose clients have sent bytes that are not read yet: these may be
-    /// a cancellation or a close.
+    /// Holds back the set-ups for a machine whose owners have sent bytes that are not read yet: these may
+    /// cancel the job or close the connection.
     pub(super) fn hold_back_unread(&mut self, now: Seconds, machine: MachineId) {
         let Some(link) = self.machine_links.get(&machine) else { return };
         let link_id = link.link_id;
         for job in link.outbox.unsent().collect::<Vec<_>>() {
-            let Some(Owner::Link(client)) = self.core.job(job).map(|job| job.owner) else { continue };
-            if self.is_drained(now, client) {
+            let Some(Owner::Link(owner_link)) = self.core.job(job).map(|job| job.owner) else { continue };
+            if self.is_drained(now, owner_link) {
                 continue;
             }
             let set_up = self.machine_links.get_mut(&machine).and_then(|link| link.outbox.remove_set_up(job));
             if let Some(set_up) = set_up {
                 self.counts.held_set_ups += 1;
-                self.held.push(HeldSetUp { client, machine, link_id, set_up });
+                self.held.push(HeldSetUp { owner_link, machine, link_id, set_up });
             }
         }
     }
 
-    /// Records that a client has no unread bytes, and queues its held set-ups again, except those it has
-    /// cancelled.
-    pub fn client_drained(&mut self, now: Seconds, client: u64) {
-        if let Some(link) = self.owners.get_mut(&client) {
+    /// Records that an owner's connection has no unread bytes, and queues its held set-ups again, except
+    /// those that it has cancelled.
+    pub fn owner_drained(&mut self, now: Seconds, owner_link: u64) {
+        if let Some(link) = self.owners.get_mut(&owner_link) {
             link.drained_at = now;
         }
-        for HeldSetUp { machine, link_id, set_up, .. } in self.held.take(client) {
+        for HeldSetUp { machine, link_id, set_up, .. } in self.held.take(owner_link) {
             if self.machine_links.get(&machine).is_some_and(|link| link.link_id == link_id) {
                 self.write_set_up(now, machine, set_up);
             }
         }
     }
 
-    /// Queues a message that is not an effect of the core on a connection.
+    /// Queues a message on an owner's connection that is not an effect of the core, such as the answer to a
+    /// health check.
     pub fn reply(&mut self, now: Seconds, link: u64, bytes: Vec<u8>) {
         if let Some(link) = self.owners.get_mut(&link) {
             link.push(bytes, now);
--- a/src/wire/hub/tests.rs
+++ b/src/wire/hub/tests.rs
@@ -36,9 +36,9 @@
         Bounds { owners: 9, owner_queue: 4096, machine_queue: 4096, links: 9 },
         Arc::default(),
     );
-    let name = hub.lock().core.vocabulary().machine("b");
+    let machine_id = hub.lock().core.vocabulary().machine("b");
     let entry = Entry {
-        machine: name,
+        machine: machine_id,
         key: MachineKey(1),
         zone: ZoneId(0),
         cell: CellId(0),
@@ -49,14 +49,14 @@
     };
     let notice = MachineNotice { entry, address: "a:1".into() };
     hub.apply(Input::List { kind: ListKind::Changes, notices: vec![notice] });
-    let owner = open_owner_connection(&mut hub.lock(), 100.0).expect("a place");
+    let owner = open_owner_connection(&mut hub.lock(), 100.0).expect("the connection limit is not reached");
     let room = Room { cores: 1.0, memory: 1.0 };
     let (class, service, deadline) = (0, ServiceId(1), hub.now() + deadline_in_s);
     let limits = TaskLimits::default();
     let task = Task { class, tenant: None, service, room, deadline, expected_runtime_s: None, limits };
     let spec = Arc::new(Spec { class: "c".into(), body: "x".into(), ..Spec::default() });
     hub.apply(Input::Submit(JobSubmission { job: RequestId(1), owner: Owner::Link(owner), spec, task }));
-    (hub, name, owner)
+    (hub, machine_id, owner)
 }
 
 /// Guards rule 2: a set-up that was written, completely or in part, before its connection broke during the
@@ -64,15 +64,15 @@
 #[test]
 fn a_partly_written_set_up_counts_as_sent() {
     for taken in [0, 10, 1 << 20] {
-        let (hub, name, owner) = hub_with_queued_job("once", 5.0);
-        let link_id = hub.lock().machine_links[&name].link_id;
+        let (hub, machine_id, owner) = hub_with_queued_job("once", 5.0);
+        let link_id = hub.lock().machine_links[&machine_id].link_id;
         let written =
-            hub.flush_to_machine((name, link_id, "a:1"), &FailingSink(taken.into()), &mut Vec::new());
+            hub.flush_to_machine((machine_id, link_id, "a:1"), &FailingSink(taken.into()), &mut Vec::new());
         // After a complete write the error shows only at the next write.
         assert_eq!(written.is_err(), taken < 1 << 20);
-        hub.lock().machine_links.get_mut(&name).expect("a link").outbox.reset();
-        hub.apply(Input::LinkBroken { machine: name, proved: true });
-        let waits = !hub.lock().machine_links[&name].outbox.is_empty();
+        hub.lock().machine_links.get_mut(&machine_id).expect("a link").outbox.reset();
+        hub.apply(Input::LinkBroken { machine: machine_id, proved: true });
+        let waits = !hub.lock().machine_links[&machine_id].outbox.is_empty();
         let answered = !hub.lock().owners[&owner].outbox.is_empty();
         assert_eq!((waits, answered), (taken == 0, taken > 0), "{taken} bytes written");
     }
@@ -82,13 +82,13 @@
 /// set-up past its deadline is not written, although its alarm has not run yet.
 #[test]
 fn an_expired_set_up_is_not_written() {
-    let (hub, name, owner) = hub_with_queued_job("repeatable", 0.1);
-    let link_id = hub.lock().machine_links[&name].link_id;
-    assert!(!hub.lock().machine_links[&name].outbox.is_empty(), "it is queued");
+    let (hub, machine_id, owner) = hub_with_queued_job("repeatable", 0.1);
+    let link_id = hub.lock().machine_links[&machine_id].link_id;
+    assert!(!hub.lock().machine_links[&machine_id].outbox.is_empty(), "it is queued");
     std::thread::sleep(Duration::from_millis(150));
     let failing_sink = FailingSink(0.into());
-    let waits = hub.flush_to_machine((name, link_id, "a:1"), &failing_sink, &mut Vec::new());
-    assert_eq!(waits.expect("nothing is written"), Some(Written::All));
+    let written = hub.flush_to_machine((machine_id, link_id, "a:1"), &failing_sink, &mut Vec::new());
+    assert_eq!(written.expect("nothing is written"), Some(Written::All));
     assert!(!hub.lock().owners[&owner].outbox.is_empty(), "its owner is answered");
 }
 
@@ -99,18 +99,21 @@
     for other in [true, false] {
         let hub = hub(9);
         let mut inner = hub.lock();
-        let first = open_owner_connection(&mut inner, 100.0).expect("a place");
+        let first = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
         inner.reply(100.0, first, vec![1]);
         inner.write_to_owner(100.0, Owner::Link(first), vec![2], true);
-        let second = other.then(|| open_owner_connection(&mut inner, 100.0).expect("a place"));
+        let second = other
+            .then(|| open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached"));
         inner.close_owner(100.1, first);
-        let second = second.or_else(|| open_owner_connection(&mut inner, 100.2)).expect("a place");
+        let second = second
+            .or_else(|| open_owner_connection(&mut inner, 100.2))
+            .expect("the connection limit is not reached");
         assert_eq!(inner.owners.get_mut(&second).expect("a link").outbox.take_reroutable(), [vec![2]]);
     }
 }
 
-/// Guards a request that has arrived but is not read yet: its connection is not closed to make room for
-/// another, although no job is open on it.
+/// Guards a request that has arrived but is not read yet: its connection counts as in use although no job is
+/// open on it, and is not closed to make room for another.
 #[tokio::test]
 async fn a_connection_with_unread_bytes_is_not_closed() {
     let hub = hub(1);
@@ -119,7 +122,7 @@
     let (stream, _) = listener.accept().await.expect("a connection");
     let stream = Arc::new(stream);
     let mut inner = hub.lock();
-    let first = open_owner_connection(&mut inner, 100.0).expect("a place");
+    let first = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
     inner.owners.get_mut(&first).expect("a link").stream = Some(stream.clone());
     assert!(!has_unread_bytes(&stream));
     io::Write::write_all(&mut client, &[0]).expect("written");
@@ -136,7 +139,7 @@
     let hub = hub(9);
     let mut inner = hub.lock();
     let ids: Vec<u64> = (0..3).filter_map(|_| open_owner_connection(&mut inner, 100.0)).collect();
-    let [silent, idle, unread] = ids[..] else { panic!("three places") };
+    let [silent, idle, unread] = ids[..] else { panic!("a connection was rejected below the limit") };
     inner.reply(100.0, idle, vec![]);
     inner.owners.get_mut(&idle).expect("a link").outbox.reset();
     inner.reply(100.0, unread, vec![0]);
@@ -152,10 +155,13 @@
 fn a_connection_with_open_answers_is_not_closed_to_make_room() {
     let hub = hub(2);
     let mut inner = hub.lock();
-    let first = open_owner_connection(&mut inner, 100.0).expect("a place");
+    let first = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
     inner.reply(100.0, first, vec![0]);
-    let second = open_owner_connection(&mut inner, 100.0).expect("a place");
-    assert!(open_owner_connection(&mut inner, 100.0).is_some(), "the silent one makes room");
+    let second = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
+    assert!(
+        open_owner_connection(&mut inner, 100.0).is_some(),
+        "the silent connection is closed to make room"
+    );
     assert!(inner.owners.contains_key(&first) && !inner.owners.contains_key(&second));
     inner.owners.values_mut().for_each(|link| link.push(vec![0], 100.0));
     assert_eq!(open_owner_connection(&mut inner, 100.0), None);
@@ -178,11 +184,11 @@
 /// it is written.
 #[test]
 fn a_queued_set_up_states_the_remaining_time() {
-    let (hub, name, _) = hub_with_queued_job("repeatable", 1.0);
-    let link_id = hub.lock().machine_links[&name].link_id;
+    let (hub, machine_id, _) = hub_with_queued_job("repeatable", 1.0);
+    let link_id = hub.lock().machine_links[&machine_id].link_id;
     std::thread::sleep(Duration::from_millis(250));
     let machine = RecordingSink::default();
-    hub.flush_to_machine((name, link_id, "a:1"), &machine, &mut Vec::new()).expect("it is written");
+    hub.flush_to_machine((machine_id, link_id, "a:1"), &machine, &mut Vec::new()).expect("it is written");
     let line: serde_json::Value = serde_json::from_slice(&machine.0.borrow()).expect("a set-up");
     let left_ms: u64 = line["meta"]["left"].as_str().expect("a time").parse().expect("a number");
     assert!((1..=750).contains(&left_ms), "{left_ms} ms left of 1000 after 250");
@@ -192,7 +198,7 @@
 /// unread.
 #[tokio::test]
 async fn no_attempt_starts_while_the_close_of_its_client_is_unread() {
-    let (hub, name, owner) = hub_with_queued_job("repeatable", 5.0);
+    let (hub, machine_id, owner) = hub_with_queued_job("repeatable", 5.0);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = std::net::TcpStream::connect(listener.local_addr().expect("its address")).expect("up");
     let (stream, _) = listener.accept().await.expect("a connection");
@@ -206,12 +212,12 @@
     }
     // Longer than a connection counts as read after its last read.
     std::thread::sleep(Duration::from_millis(100));
-    let link_id = hub.lock().machine_links[&name].link_id;
+    let link_id = hub.lock().machine_links[&machine_id].link_id;
     let machine = RecordingSink::default();
-    hub.flush_to_machine((name, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
+    hub.flush_to_machine((machine_id, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
     assert!(machine.0.borrow().is_empty(), "an attempt began");
     hub.apply(Input::OwnerGone { link: owner });
-    hub.flush_to_machine((name, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
+    hub.flush_to_machine((machine_id, link_id, "a:1"), &machine, &mut Vec::new()).expect("nothing fails");
     assert!(machine.0.borrow().is_empty(), "an attempt began after its client's close was processed");
 }
 
@@ -221,7 +227,7 @@
 fn a_partial_request_delays_the_stop() {
     let hub = hub(9);
     let mut inner = hub.lock();
-    let client = open_owner_connection(&mut inner, 100.0).expect("a place");
+    let client = open_owner_connection(&mut inner, 100.0).expect("the connection limit is not reached");
     assert!(inner.is_quiet(100.0));
     inner.owners.get_mut(&client).expect("a link").partial_at = Some(100.0);
     assert!(!inner.is_quiet(100.09));
@@ -235,7 +241,7 @@
 fn an_unread_request_counts_from_its_earliest_arrival() {
     let hub = hub(9);
     let mut inner = hub.lock();
-    let client = open_owner_connection(&mut inner, hub.now()).expect("a place");
+    let client = open_owner_connection(&mut inner, hub.now()).expect("the connection limit is not reached");
     let link = |inner: &mut Inner, drained_at| {
         inner.owners.get_mut(&client).expect("a link").drained_at = drained_at
     };
