--- a/src/bin/burlhook-adapter/main.rs
+++ b/src/bin/burlhook-adapter/main.rs
@@ -50,7 +50,8 @@
     Ok(())
 }
 
-/// Names the batch that could not be parsed, or else the last one that could, in front of the error.
+/// The error, preceded by the number of the batch that could not be parsed, or else of the last batch that
+/// could.
 fn describe(line: &str, last_turn: Option<u64>, error: &serde_json::Error) -> String {
     let turn = serde_json::from_str::<serde_json::Value>(line).ok().and_then(|v| v.get("turn")?.as_u64());
     match (turn, last_turn) {
--- a/src/bin/burlhook-adapter/wire.rs
+++ b/src/bin/burlhook-adapter/wire.rs
@@ -1,4 +1,5 @@
-//! The messages of the simulator's protocol, and their conversion to the placer's types.
+//! The messages of the simulator's protocol, and their conversion to the placer's types. Nothing is decided
+//! here.
 
 use burlhook::vocabulary::{key, Vocabulary};
 use burlhook::*;
--- a/src/document/fault.rs
+++ b/src/document/fault.rs
@@ -31,17 +31,17 @@
     }
 
     /// Line and column of the byte at an offset.
-    pub fn place(&self, at: usize) -> Place {
+    pub fn position(&self, at: usize) -> Position {
         let before = self.text().get(..at).unwrap_or(self.text());
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().map_or(0, |rest| rest.chars().count()) + 1;
-        Place { line, column }
+        Position { line, column }
     }
 }
 
 /// A position in a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Position {
     /// The line, from 1.
     pub line: usize,
     /// The column in characters, from 1.
@@ -101,10 +101,10 @@
     }
 
     fn line(&self, fault: &Fault) -> String {
-        let place = self.text.place(fault.span.start);
+        let position = self.text.position(fault.span.start);
         let mut line = match self.whole_file {
             true => format!("{}: ", self.text.name()),
-            false => format!("{}:{}:{}: ", self.text.name(), place.line, place.column),
+            false => format!("{}:{}:{}: ", self.text.name(), position.line, position.column),
         };
         if !fault.path.is_empty() {
             line += &format!("{}: ", fault.path);
--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -8,7 +8,7 @@
 mod fault;
 mod read;
 
-pub use fault::{Fault, Faults, Place, Text};
+pub use fault::{Fault, Faults, Position, Text};
 pub use read::{Item, Section, Sink};
 
 use jsonc_parser::ast;
@@ -129,8 +129,8 @@
     }
 }
 
-fn lowercase_first(words: &str) -> String {
-    let mut letters = words.chars();
+fn lowercase_first(text: &str) -> String {
+    let mut letters = text.chars();
     letters.next().map_or(String::new(), |first| first.to_lowercase().chain(letters).collect())
 }
 
--- a/src/document/read.rs
+++ b/src/document/read.rs
@@ -198,7 +198,7 @@
         self.positive(most_ms, " ms").map(|ms| ms / 1e3)
     }
 
-    /// Reads a list of two numbers from 0 up to `most`, the first not above the second.
+    /// Reads a range: a list of two numbers from 0 up to `most`, the first not above the second.
     pub fn span_of(&self, most: f64) -> Option<(f64, f64)> {
         let parts = self.list()?;
         let [least, upper] = &parts[..] else {
@@ -213,7 +213,7 @@
         Some((least, upper))
     }
 
-    /// Reads one of some words, and returns the word's value.
+    /// Reads one of the listed words, and returns the value that is listed with it.
     pub fn one_of<T: Copy>(&self, words: &[(&str, T)]) -> Option<T> {
         let text = self.text()?;
         if let Some((_, value)) = words.iter().find(|(word, _)| *word == text) {
@@ -274,7 +274,8 @@
         found
     }
 
-    /// All members, whatever their names, for objects whose names are not fixed.
+    /// All members, for objects whose names are not fixed. They do not count as read, so [`Section::close`]
+    /// is not called for such an object.
     pub fn all(&self) -> Vec<(&'a Member, Item<'a>)> {
         let item = |m: &'a Member| {
             let path = join(&self.item.path, &m.name);
--- a/src/life/cli.rs
+++ b/src/life/cli.rs
@@ -155,14 +155,14 @@
     report_invalid(file, &invalid);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
-    let ends = runtime.block_on(rest::submit(url, mix, at_once));
-    for end in &ends {
-        println!("{} {} {}", end.number, end.status, end.detail);
+    let results = runtime.block_on(rest::submit(url, mix, at_once));
+    for result in &results {
+        println!("{} {} {}", result.number, result.status, result.detail);
     }
-    for (status, count) in rest::count(&ends) {
+    for (status, count) in rest::count(&results) {
         println!("total {status} {count}");
     }
-    let unanswered = ends.iter().filter(|e| e.status == 0).count();
+    let unanswered = results.iter().filter(|e| e.status == 0).count();
     if unanswered > 0 || !invalid.is_empty() {
         return Err(format!("{unanswered} jobs without an answer, {} invalid lines", invalid.len()));
     }
--- a/src/life/config.rs
+++ b/src/life/config.rs
@@ -40,8 +40,9 @@
     Runtime(std::io::Error),
 }
 
-/// Share of the descriptors that owners' connections may take. Owners hold at most a third; the remainder is
-/// for clients that make one request and keep their connection open.
+/// Share of the descriptors that connections of owners may take. Owners hold at most a third
+/// ([`OWNERS_RESERVED`]); the rest of this share is for clients that send one request and then leave their
+/// connection open.
 const OWNERS_SHARE: f64 = 0.5;
 /// Share of the descriptors that owners hold at most. It is reserved for them: connections to machines never
 /// take it.
@@ -136,11 +137,11 @@
         let variable = |name| std::env::var_os(name).filter(|v| !v.is_empty());
         let path = path.or_else(|| variable("NODE_CONFIG").map(PathBuf::from)).ok_or(ConfigError::Missing)?;
         let text = std::fs::read(&path).map_err(|e| ConfigError::Read(path.clone(), e))?;
-        let wrong = |e: String| ConfigError::Parse(path.clone(), e);
-        let file: File = serde_json::from_slice(&text).map_err(|e| wrong(e.to_string()))?;
+        let invalid = |e: String| ConfigError::Parse(path.clone(), e);
+        let file: File = serde_json::from_slice(&text).map_err(|e| invalid(e.to_string()))?;
         let seed = match file.seed.as_str() {
             "" => 0,
-            hex => u64::from_str_radix(hex, 16).map_err(|_| wrong(format!("seed {hex:?} is not hex")))?,
+            hex => u64::from_str_radix(hex, 16).map_err(|_| invalid(format!("seed {hex:?} is not hex")))?,
         };
         Ok(Config {
             path,
--- a/src/life/mod.rs
+++ b/src/life/mod.rs
@@ -62,7 +62,8 @@
     operators: Option<Operators>,
     /// The address of the notice board, which streams the machine list; a reload can change it.
     board: watch::Sender<Source>,
-    /// The turns of the runtime's thread, which bound the age of unread bytes.
+    /// Records when the runtime's thread parks and wakes, which bounds for how long the bytes that it reads
+    /// have been unread.
     turns: Arc<Turns>,
 }
 
@@ -108,6 +109,7 @@
     let runtime = runtime.map_err(ConfigError::Runtime)?;
     let counts = runtime.block_on(daemon.run())?;
     // The sockets close right after the last check of them: nothing blocks in between, not even a log line.
+    // Input that arrived in a longer gap would be lost without an answer.
     drop(runtime);
     log_counts(counts);
     daemon.enter(Phase::Stopped);
@@ -315,29 +317,29 @@
         Ok(())
     }
 
-    /// Answers accepted jobs and those that still arrive, then returns. SIGINT while draining has all of them
-    /// answered at once.
+    /// Answers accepted jobs and those that still arrive, then returns. A SIGINT that arrives meanwhile makes
+    /// the planner answer all of them at once.
     async fn drain(&mut self, hub: &Hub, signals: &mut Signals) {
         let since = Instant::now();
         self.enter(Phase::Draining { since });
-        let mut times = {
+        let mut timeline = {
             let mut inner = hub.lock();
             inner.draining = true;
             let deadlines = inner.core.settings().classes.iter().map(|c| c.deadline_s);
             Timeline::new(deadlines.fold(0.0, f64::max))
         };
         let drains_from = hub.now();
-        hub.apply(Input::Draining { until: drains_from + times.answers_by_s() });
-        let (mut last_busy, mut listens) = (since, true);
+        hub.apply(Input::Draining { until: drains_from + timeline.answers_by_s() });
+        let (mut last_busy, mut is_listening) = (since, true);
         loop {
-            if listens && !times.takes_connections(since.elapsed().as_secs_f64()) {
-                listens = false;
+            if is_listening && !timeline.takes_connections(since.elapsed().as_secs_f64()) {
+                is_listening = false;
                 hub.stop_listening.notify_one();
             }
             if !hub.lock().is_quiet(hub.now()) {
                 last_busy = Instant::now();
             }
-            match times.step(since.elapsed().as_secs_f64(), last_busy.elapsed().as_secs_f64()) {
+            match timeline.step(since.elapsed().as_secs_f64(), last_busy.elapsed().as_secs_f64()) {
                 Step::Wait => {}
                 Step::EndIfQuiet => {
                     // After a pause of the process this task may run before those that have input to process.
@@ -347,6 +349,7 @@
                     }
                     last_busy = Instant::now();
                 }
+                // The platform may soon kill the process.
                 Step::End => {
                     let open = hub.lock().core.pending();
                     tracing::warn!(
@@ -359,7 +362,7 @@
             tokio::select! {
                 () = tokio::time::sleep(DRAIN_POLL) => {}
                 _ = signals.interrupts.recv() => {
-                    times.hasten(since.elapsed().as_secs_f64());
+                    timeline.hasten(since.elapsed().as_secs_f64());
                     hub.apply(Input::Draining { until: hub.now() });
                 }
                 // The address of the notice board may change while the planner drains, too.
--- a/src/wire/import/mod.rs
+++ b/src/wire/import/mod.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(try_from = "MixLine", into = "MixLine")]
 pub struct MixJob {
-    /// Milliseconds since the first line's.
+    /// Milliseconds from the earliest job of the mix to this one.
     pub at_ms: u64,
     /// The Idempotency-Key, for jobs of keyed classes and for groups that have one.
     pub key: Option<String>,
--- a/src/wire/peers/codec.rs
+++ b/src/wire/peers/codec.rs
@@ -1,9 +1,10 @@
 //! Encodes peer messages as datagrams, and decodes them.
 //!
-//! A datagram is `version:1 check:8 from:2 life:8`, then messages, each `kind:1` and its fields, all
-//! big-endian. The check is a keyed digest of all bytes after it. Its key is derived from the fleet's name,
-//! planners, voters and terms, so that corrupt datagrams and those of another fleet or configuration are
-//! detected. It guards against mistakes, not against attackers.
+//! A datagram is `version:1 check:8 from:2 life:8`, then messages, each `kind:1` and its fields. The numbers
+//! after the colons are lengths in bytes; integers are big-endian. `life` is the sender's incarnation. The
+//! check is a keyed digest of all bytes after it. Its key is derived from the fleet's name, planners, voters
+//! and terms, so that corrupt datagrams and those of another fleet or configuration are detected. It guards
+//! against mistakes, not against attackers.
 
 use crate::decide::budgets::{Ask, Grant, PeerMessage};
 use crate::decide::fleet::{Claim, Incarnation, Member, Vote};
@@ -71,7 +72,7 @@
     hasher.finish()
 }
 
-/// Units and spans are encoded in four bytes; larger values are sent as the largest one that fits.
+/// Encodes units and times of asks and grants in four bytes; a larger value is sent as the largest that fits.
 fn saturated_u32(figure: u64) -> [u8; 4] {
     u32::try_from(figure).unwrap_or(u32::MAX).to_be_bytes()
 }
--- a/src/wire/peers/mod.rs
+++ b/src/wire/peers/mod.rs
@@ -1,6 +1,6 @@
 //! Messages between the planners of a fleet: datagrams of at most 256 bytes on loopback, accepted only from
 //! listed addresses and from this fleet. All others are dropped and counted. Nothing is retransmitted here:
-//! whoever needs a message that was lost sends another one.
+//! leases and budgets send a new message if they still need one that was lost.
 
 pub mod codec;
 
@@ -16,8 +16,8 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::Receiver;
 
-/// Count. Capacity of the queue of outgoing batches of messages; further batches are dropped, as a network
-/// would.
+/// Count. Capacity of the queue of outgoing batches, each of messages to one planner. Further batches are
+/// dropped, as a network would drop them.
 pub const QUEUE: usize = 4096;
 /// Count. Datagrams that are processed before the task yields to others.
 const YIELD_AFTER: usize = 32;
@@ -51,7 +51,7 @@
                 }
             }
             received = socket.recv_from(&mut bytes) => {
-                // An error means that a planner is down, as its port is closed.
+                // An error reports a closed port: the planner to which a datagram was sent is down.
                 if let Ok((length, from)) = received {
                     receive(&hub, digest, &bytes[..length], listed.get(&from).copied());
                 }
--- a/src/wire/rest/answers.rs
+++ b/src/wire/rest/answers.rs
@@ -51,7 +51,7 @@
         Problem::new(502, "group-failed", "The group failed", detail)
     }
 
-    /// Adds the index of the member that it is about.
+    /// Adds the index of the group's member that it is about.
     pub fn of_member(self, at: usize) -> Problem {
         Problem { detail: format!("member {at}: {}", self.detail), ..self }
     }
--- a/src/wire/rest/groups.rs
+++ b/src/wire/rest/groups.rs
@@ -16,7 +16,8 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Seconds. The retry time if the planner has as many groups or jobs as it may, or stops.
+/// Seconds. The retry delay in a response if the planner holds the maximum number of groups or jobs, or is
+/// stopping.
 const BUSY_RETRY_S: f64 = 1.0;
 
 /// A group as a client submits it.
@@ -85,9 +86,9 @@
     body: Body,
 ) -> Answer {
     let query = answers::query(query)?;
-    let body = jobs::whole_body(&api, body).await?;
+    let body = jobs::read_body(&api, body).await?;
     let new: NewGroup = serde_json::from_slice(&body).map_err(|e| Problem::bad(&e.to_string()))?;
-    let key = jobs::key_of(&headers)?;
+    let key = jobs::idempotency_key(&headers)?;
     let keyless = key.is_none();
     let (group, joined) = submit_or_join(&api, &new, key)?;
     let view = match query.wait {
@@ -131,16 +132,16 @@
     for (at, member) in new.members.iter().enumerate() {
         let job = member.job(new.deadline_ms);
         let with_index = |problem: Problem| problem.of_member(at);
-        let own = member.key.clone().or_else(|| key.as_ref().map(|key| format!("{key}/{at}")));
+        let member_key = member.key.clone().or_else(|| key.as_ref().map(|key| format!("{key}/{at}")));
         let keyed = inner.core.vocabulary().class(&job.class).is_some_and(|class| {
             matches!(inner.core.settings().classes[class].idempotency, Idempotency::Keyed { .. })
         });
-        let own = own.filter(|_| keyed);
-        let class = jobs::check(&mut inner, &job, own.as_deref()).map_err(with_index)?;
-        if own.as_ref().is_some_and(|own| !keys.insert((class, own.clone()))) {
+        let member_key = member_key.filter(|_| keyed);
+        let class = jobs::check(&mut inner, &job, member_key.as_deref()).map_err(with_index)?;
+        if member_key.as_ref().is_some_and(|member_key| !keys.insert((class, member_key.clone()))) {
             return Err(Problem::bad("two members have one key").of_member(at));
         }
-        let in_use = own.as_deref().and_then(|own| inner.core.keyed(&job.class, own));
+        let in_use = member_key.as_deref().and_then(|member_key| inner.core.keyed(&job.class, member_key));
         if in_use.and_then(|id| inner.core.job(id)).is_some_and(|job| !job.phase.is_over()) {
             return Err(Problem::bad("its key belongs to a job that is not over").of_member(at));
         }
@@ -154,15 +155,15 @@
             limits: TaskLimits::default(),
         };
         let (class, service, body) = (job.class, job.service, job.description);
-        let spec = Spec { class, name: "0".repeat(16), service, key: own, body, digest: 0 };
+        let spec = Spec { class, name: "0".repeat(16), service, key: member_key, body, digest: 0 };
         if !node::fits(RequestId(u64::MAX), &spec) {
             return Err(Problem::bad("the description is too long for a machine's message").of_member(at));
         }
         members.push((Arc::new(spec), task));
     }
-    let of: Vec<(usize, &str)> =
+    let classes_and_services: Vec<(usize, &str)> =
         members.iter().map(|(spec, task)| (task.class, spec.service.as_str())).collect();
-    let figures = settings.figures(&of);
+    let figures = settings.figures(&classes_and_services);
     if members.len() > figures.members {
         let detail = format!("a group of {} members; up to {} are taken", members.len(), figures.members);
         return Err(Problem::bad(&detail));
@@ -234,10 +235,10 @@
         None => 202,
         Some(groups::Answer::Placed) => created_status,
         Some(groups::Answer::Refused { why, retry_in_s }) => {
-            return Err(Problem::group_refused(objects::given_up(why), retry_in_s).about_group(object));
+            return Err(Problem::group_refused(objects::group_reason(why), retry_in_s).about_group(object));
         }
         Some(groups::Answer::Failed { why }) => {
-            return Err(Problem::group_failed(objects::given_up(why)).about_group(object));
+            return Err(Problem::group_failed(objects::group_reason(why)).about_group(object));
         }
     };
     let mut response = answers::json(status, &object);
--- a/src/wire/rest/jobs.rs
+++ b/src/wire/rest/jobs.rs
@@ -23,7 +23,8 @@
 const MAX_KEY_BYTES: usize = 255;
 /// Milliseconds. The longest time to a deadline.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// Seconds. The retry time if the planner has as many jobs as it may, stops, or cannot reach a key's owner.
+/// Seconds. The retry delay in a response if the planner holds the maximum number of jobs, is stopping, or
+/// cannot reach the owner of a key.
 const BUSY_RETRY_S: f64 = 1.0;
 /// The cause code in the platform protocol that tells a machine that the owner ended the task.
 const ENDED_BY_OWNER: u8 = 16;
@@ -47,9 +48,9 @@
     body: Body,
 ) -> Answer {
     let query = answers::query(query)?;
-    let body = whole_body(&api, body).await?;
+    let body = read_body(&api, body).await?;
     let new: NewJob = serde_json::from_slice(&body).map_err(|e| Problem::bad(&e.to_string()))?;
-    let key = key_of(&headers)?;
+    let key = idempotency_key(&headers)?;
     let class = check(&mut api.hub.lock(), &new, key.as_deref())?;
     if let Some(key) = &key {
         match api.fleet.locate(&new.class, key).await {
@@ -69,14 +70,14 @@
 }
 
 /// Reads a request's body, within the bounds on its size and time.
-pub(super) async fn whole_body(api: &Api, body: Body) -> Result<axum::body::Bytes, Problem> {
+pub(super) async fn read_body(api: &Api, body: Body) -> Result<axum::body::Bytes, Problem> {
     let max_bytes = api.options.max_body_bytes;
     let body = tokio::time::timeout(BODY_TIMEOUT, axum::body::to_bytes(body, max_bytes)).await;
     let body = body.map_err(|_| Problem::bad("the body did not come in time"))?;
     body.map_err(|_| Problem::too_large(max_bytes))
 }
 
-pub(super) fn key_of(headers: &HeaderMap) -> Result<Option<String>, Problem> {
+pub(super) fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Problem> {
     let Some(value) = headers.get("idempotency-key") else { return Ok(None) };
     let key = value.to_str().unwrap_or_default().trim();
     let key = key.strip_prefix('"').and_then(|k| k.strip_suffix('"')).unwrap_or(key);
@@ -93,14 +94,14 @@
     let settings = inner.core.settings();
     let idempotency = settings.classes[class].idempotency;
     let keyed = matches!(idempotency, Idempotency::Keyed { .. });
-    let amount = |x: f64| x.is_finite() && x > 0.0;
+    let is_positive = |x: f64| x.is_finite() && x > 0.0;
     let faults = [
         (keyed && key.is_none(), "a job of this class needs an Idempotency-Key"),
         (
             idempotency == Idempotency::Repeatable && key.is_some(),
             "a job of this class takes no Idempotency-Key: its repeats are not joined",
         ),
-        (!(amount(new.cores) && amount(new.memory)), "cores and memory must be above 0"),
+        (!(is_positive(new.cores) && is_positive(new.memory)), "cores and memory must be above 0"),
         (new.service.is_empty(), "service must not be empty"),
         (!(1..=MAX_DEADLINE_MS).contains(&new.deadline_ms), "deadlineMs must be 1 to 3600000"),
     ];
@@ -125,8 +126,8 @@
         if job.spec.digest != digest {
             return Err(Problem::key_reused());
         }
-        // A job that ended before it ran may be submitted again. A failed one may have run, so its result
-        // stays.
+        // A job that was refused, missed its deadline, was cancelled or was lost may be submitted again. A
+        // failed one may have run, so its result stays.
         if !matches!(job.phase, Phase::Refused | Phase::DeadlinePassed | Phase::Cancelled | Phase::Lost) {
             return Ok((id, true));
         }
--- a/src/wire/rest/limits.rs
+++ b/src/wire/rest/limits.rs
@@ -1,4 +1,4 @@
-//! The request that gets the operators' limits in force.
+//! The request that returns the operators' limits in force.
 
 use super::answers::{self, Answer};
 use super::objects::rfc3339;
--- a/src/wire/rest/mod.rs
+++ b/src/wire/rest/mod.rs
@@ -98,31 +98,31 @@
     pub fn read(item: &Item<'_>) -> Option<Options> {
         let section = item.section()?;
         let before = item.sink().count();
-        let mut own = Options::default();
+        let mut parsed = Options::default();
         let count_from = |least, name, into: &mut usize| {
             if let Some(n) = section.get(name).and_then(|i| i.count(least..=MAX_SETTING_COUNT)) {
                 *into = n as usize;
             }
         };
         let count = |name, into: &mut usize| count_from(1, name, into);
-        count("maxBodyBytes", &mut own.max_body_bytes);
-        count_from(0, "maxOpenJobs", &mut own.max_open_jobs);
-        count_from(0, "maxWatchers", &mut own.max_watchers);
-        count("maxConnections", &mut own.max_connections);
-        count("history", &mut own.history);
-        count("keepOver", &mut own.keep_over);
+        count("maxBodyBytes", &mut parsed.max_body_bytes);
+        count_from(0, "maxOpenJobs", &mut parsed.max_open_jobs);
+        count_from(0, "maxWatchers", &mut parsed.max_watchers);
+        count("maxConnections", &mut parsed.max_connections);
+        count("history", &mut parsed.history);
+        count("keepOver", &mut parsed.keep_over);
         let time = |name, into: &mut f64| {
             if let Some(seconds) = section.get(name).and_then(|i| i.millis(MAX_SETTING_S * 1e3)) {
                 *into = seconds;
             }
         };
-        time("keepOverMs", &mut own.keep_over_s);
-        time("bookmarkMs", &mut own.bookmark_s);
-        time("slowWatcherMs", &mut own.slow_watcher_s);
+        time("keepOverMs", &mut parsed.keep_over_s);
+        time("bookmarkMs", &mut parsed.bookmark_s);
+        time("slowWatcherMs", &mut parsed.slow_watcher_s);
         if let Some(item) = section.get("listen") {
             let address = item.text().map(|text| (text, text.parse::<std::net::SocketAddr>()));
             match address {
-                Some((text, Ok(address))) if address.ip().is_loopback() => own.listen = text.into(),
+                Some((text, Ok(address))) if address.ip().is_loopback() => parsed.listen = text.into(),
                 Some((_, Ok(_))) => item.breaks("is not a loopback address", LOOPBACK),
                 Some((text, Err(_))) => {
                     item.fault(format!("{text:?} is no address; ADDRESS:PORT is expected"))
@@ -133,19 +133,19 @@
         for item in section.get("fleet").and_then(|i| i.list()).unwrap_or_default() {
             let Some(url) = item.text() else { continue };
             match client::loopback(url) {
-                Ok(_) => own.fleet.push(url.into()),
+                Ok(_) => parsed.fleet.push(url.into()),
                 Err(why) => item.breaks(why, LOOPBACK),
             }
         }
         let own_url = section.get("ownUrl");
         if let Some(url) = own_url.as_ref().and_then(|i| i.text()) {
-            own.own_url = url.into();
+            parsed.own_url = url.into();
         }
-        if !own.fleet.is_empty() && !own.fleet.contains(&own.own_url) {
+        if !parsed.fleet.is_empty() && !parsed.fleet.contains(&parsed.own_url) {
             own_url.unwrap_or_else(|| item.clone()).fault("must be one of the fleet's planners (ownUrl)");
         }
         section.close(|_| None);
-        (item.sink().count() == before).then_some(own)
+        (item.sink().count() == before).then_some(parsed)
     }
 }
 
--- a/src/wire/rest/objects.rs
+++ b/src/wire/rest/objects.rs
@@ -168,7 +168,7 @@
         group["status"]["answer"] = json!(answer);
     }
     if let Some(why) = view.why {
-        group["status"]["reason"] = json!(given_up(why));
+        group["status"]["reason"] = json!(group_reason(why));
     }
     if let Some(groups::Answer::Refused { retry_in_s, .. }) = view.answer {
         group["status"]["retryAfterMs"] = json!((retry_in_s * 1e3).round() as u64);
@@ -177,7 +177,7 @@
 }
 
 /// The text for the reason why a group was given up.
-pub fn given_up(why: groups::Why) -> &'static str {
+pub fn group_reason(why: groups::Why) -> &'static str {
     match why {
         groups::Why::NoRoom => "there is no room for the whole group",
         groups::Why::Refused => "a member was refused",
--- a/src/wire/rest/submit.rs
+++ b/src/wire/rest/submit.rs
@@ -68,16 +68,16 @@
             result
         });
     }
-    let mut ends = tasks.join_all().await;
-    ends.sort_by_key(|e| e.number);
-    ends
+    let mut results = tasks.join_all().await;
+    results.sort_by_key(|result| result.number);
+    results
 }
 
 /// The number of jobs by status.
-pub fn count(ends: &[JobResult]) -> BTreeMap<u16, usize> {
+pub fn count(results: &[JobResult]) -> BTreeMap<u16, usize> {
     let mut counts = BTreeMap::new();
-    for end in ends {
-        *counts.entry(end.status).or_default() += 1;
+    for result in results {
+        *counts.entry(result.status).or_default() += 1;
     }
     counts
 }
--- a/src/wire/rest/watch.rs
+++ b/src/wire/rest/watch.rs
@@ -21,7 +21,7 @@
 const MAX_BATCH: usize = 128;
 /// Count. The most writes that are queued for a watcher.
 const QUEUED_WRITES: usize = 2;
-/// Seconds. The retry time if as many watches are open as may be.
+/// Seconds. The retry delay in a response if the maximum number of watches is open.
 const RETRY_S: f64 = 5.0;
 
 /// The kinds of objects that can be listed and watched.
--- a/tests/exchange/mod.rs
+++ b/tests/exchange/mod.rs
@@ -73,7 +73,7 @@
     pub rest: String,
     config: Value,
     path: PathBuf,
-    /// The operators' file, where the planner has one.
+    /// The operators' file, if the planner has one.
     operators: Option<PathBuf>,
 }
 
@@ -113,8 +113,10 @@
         std::fs::write(&path, config.to_string()).expect("a configuration");
         // The system enforces the descriptor limit of the configuration.
         let mut command = Command::new("/bin/sh");
-        let most = config["limits"]["sockets"].as_u64().map_or("unlimited".into(), |most| most.to_string());
-        command.args(["-c", "[ $1 = unlimited ] || ulimit -n $1; shift; exec \"$@\"", "sh", &most]);
+        let socket_limit = config["limits"]["sockets"]
+            .as_u64()
+            .map_or("unlimited".into(), |socket_limit| socket_limit.to_string());
+        command.args(["-c", "[ $1 = unlimited ] || ulimit -n $1; shift; exec \"$@\"", "sh", &socket_limit]);
         command
             .arg(env!("CARGO_BIN_EXE_burlhook"))
             .args(["serve", "--config"])
@@ -129,21 +131,21 @@
         });
         let mut child = command.spawn().expect("the planner starts");
         let mut log = BufReader::new(child.stderr.take().expect("its log"));
-        let (mut owners, mut at_rest, mut seen) = (String::new(), String::new(), String::new());
-        while owners.is_empty() || (rest.is_some() && at_rest.is_empty()) {
+        let (mut owners, mut rest_address, mut seen) = (String::new(), String::new(), String::new());
+        while owners.is_empty() || (rest.is_some() && rest_address.is_empty()) {
             let mut line = String::new();
             assert_ne!(log.read_line(&mut line).expect("a log line"), 0, "the planner exited: {seen}");
             let address =
                 || line.trim().rsplit_once("address=").map(|(_, a)| a.to_string()).expect("an address");
             if line.contains("listening for REST") {
-                at_rest = address();
+                rest_address = address();
             } else if line.contains("listening") {
                 owners = address();
             }
             seen += &line;
         }
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::stderr()));
-        Planner { child, owners, rest: at_rest, config, path, operators }
+        Planner { child, owners, rest: rest_address, config, path, operators }
     }
 
     pub fn term(&self) {
@@ -199,7 +201,7 @@
 }
 
 /// Environment variables that load the fault injector (`shim/faults.c`): one system call in `one_in` fails,
-/// and one read or write in `short_one_in` is short; none where the figure is 0.
+/// and one read or write in `short_one_in` is short; 0 turns either off.
 pub fn faults(seed: u64, one_in: u64, short_one_in: u64) -> Vec<(&'static str, String)> {
     static SHIM: OnceLock<PathBuf> = OnceLock::new();
     let shim = SHIM.get_or_init(|| {
@@ -255,7 +257,7 @@
                 Ok(0) => return None,
                 Ok(count) => self.bytes.extend(&more[..count]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                // A read with a time-out is interrupted where this process is stopped for a moment.
+                // A read with a time-out is interrupted if this process is stopped for a moment.
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
                 Err(e) => panic!("no complete message: {e}; so far {:?}", escape(&self.bytes)),
             }
@@ -277,14 +279,14 @@
 
     /// Sends an HTTP request given as `METHOD PATH KEY BODY`; key (`-` for none) and body may be absent.
     pub fn ask(&mut self, request: &str) {
-        let mut words = request.splitn(4, ' ');
-        let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
-        let key = words
+        let mut parts = request.splitn(4, ' ');
+        let (method, path) = (parts.next().unwrap_or_default(), parts.next().unwrap_or_default());
+        let key = parts
             .next()
             .filter(|k| *k != "-")
             .map(|k| format!("Idempotency-Key: {k}\r\n"))
             .unwrap_or_default();
-        let body = words.next().unwrap_or_default();
+        let body = parts.next().unwrap_or_default();
         let length = body.len();
         self.send(
             format!("{method} {path} HTTP/1.1\r\nHost: x\r\n{key}Content-Length: {length}\r\n\r\n{body}")
@@ -446,7 +448,7 @@
                     Err(_) => vec![first.to_string()],
                 };
                 for name in names {
-                    let listener = TcpListener::bind("127.0.0.1:0").expect("a place to listen");
+                    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
                     addresses
                         .push((listener.local_addr().expect("its address").to_string(), format!("@{name}")));
                     listeners.insert(name, listener);
@@ -459,13 +461,13 @@
             }
             "start" => {
                 let address = |name: &String| listeners[name].local_addr().expect("an address").to_string();
-                let boxes: Vec<String> = listeners
+                let machines: Vec<String> = listeners
                     .keys()
                     .filter(|n| n.starts_with('b') && !n.starts_with("board"))
                     .map(address)
                     .collect();
                 let board = listeners.contains_key("board").then(|| address(&"board".to_string()));
-                planner = Some(Planner::start(&boxes, board.as_deref(), rest.as_deref()));
+                planner = Some(Planner::start(&machines, board.as_deref(), rest.as_deref()));
                 continue;
             }
             _ => {}
@@ -536,7 +538,7 @@
 pub fn stand_in() -> (String, StandIn) {
     let forever = (3_600_000, 3_600_000);
     let plan = Plan { by_path: true, life_ms: forever, ..Plan::default() };
-    let node = Node::start("127.0.0.1:0", plan, Clock::start()).expect("a place to listen");
+    let node = Node::start("127.0.0.1:0", plan, Clock::start()).expect("a free port");
     (node.address().to_string(), StandIn { node, seen: Default::default() })
 }
 
@@ -545,13 +547,13 @@
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    listener.bind(&any.into()).expect("a place");
+    listener.bind(&any.into()).expect("a free port");
     listener.listen(0).expect("it listens");
     let address = listener.local_addr().expect("its address").as_socket().expect("IP").to_string();
     (listener, address)
 }
 
-/// Fills the backlog of a listener, so that no further connection comes up.
+/// Fills the backlog of a listener, so that no further connection is established.
 pub fn fill(address: &str) -> Vec<TcpStream> {
     let to = address.parse().expect("an address");
     let more = || TcpStream::connect_timeout(&to, Duration::from_millis(200)).ok();
--- a/tests/exchange/protocol.rs
+++ b/tests/exchange/protocol.rs
@@ -9,7 +9,7 @@
 pub const ANSWER: u8 = 9;
 /// Type of a message to a client: a refusal, a failure, or the end of a running task.
 pub const RELEASE: u8 = 12;
-/// Type of a message to a client: the answer to a test.
+/// Type of a message to a client: the answer to a health check.
 pub const TESTED: u8 = 53;
 
 /// A client's set-up request of one core and two units of memory.
@@ -34,9 +34,9 @@
         out.extend((value.len() as u16).to_be_bytes());
         out.extend(*value);
     }
-    let mut whole = (out.len() as u16).to_be_bytes().to_vec();
-    whole.extend(out);
-    whole
+    let mut framed = (out.len() as u16).to_be_bytes().to_vec();
+    framed.extend(out);
+    framed
 }
 
 /// A client's cancellation of a request.
@@ -44,7 +44,8 @@
     message(12, task, &[(17, &[16])])
 }
 
-/// A test of the planner itself. The planner answers it in the order of the connection's messages.
+/// A client's health check of the planner, which the protocol calls a test. The planner answers it in the
+/// order of the connection's messages.
 pub fn test(task: u64) -> Vec<u8> {
     message(52, task, &[(17, &[0])])
 }
@@ -83,7 +84,7 @@
 /// Closes a connection at once. Dropping it may be too late: a process that another test is starting may
 /// still hold a copy of the descriptor.
 pub fn close(wire: Wire) {
-    wire.stream.shutdown(Shutdown::Both).expect("it is up");
+    wire.stream.shutdown(Shutdown::Both).expect("an open connection");
 }
 
 /// A machine list event with changes.
@@ -96,7 +97,7 @@
     format!("{}\n", json!({"rev": rev, "pool": {"reset": true, "instances": instances}})).into()
 }
 
-/// Reads the next message to a client: its type, its task, and its cause where it has one.
+/// Reads the next message to a client: its type, its task, and the cause of a release.
 pub fn answered(wire: &mut Wire) -> Option<(u8, u64, Option<u8>)> {
     let frame = wire.frame()?;
     let task = u64::from_be_bytes(frame[3..11].try_into().expect("eight bytes"));
@@ -104,10 +105,10 @@
     Some((frame[2], task, cause))
 }
 
-/// Sends a test, and returns all messages that arrive before its answer.
+/// Sends a health check, and returns all messages that arrive before its answer.
 pub fn answered_before_test(wire: &mut Wire) -> Vec<(u8, u64, Option<u8>)> {
     wire.send(&test(u64::MAX));
-    let answers = std::iter::from_fn(|| Some(answered(wire).expect("the answer to the test")));
+    let answers = std::iter::from_fn(|| Some(answered(wire).expect("the answer to the health check")));
     answers.take_while(|(kind, ..)| *kind != TESTED).collect()
 }
 
--- a/tests/give_ups.rs
+++ b/tests/give_ups.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Guards against two copies of a request running at once: where a machine leaves the list while a second
+/// Guards against two copies of a request running at once: if a machine leaves the list while a second
 /// dial to it hangs, its attempts are cancelled there before they are sent to another machine.
 #[test]
 fn a_machine_that_leaves_during_a_hanging_dial_has_no_second_copy_beside_it() {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -97,9 +97,9 @@
     false
 }
 
-/// Guards clients that send on open connections until a stopping planner exits: each request that it read is
-/// answered before the earliest SIGKILL, also one with a much longer deadline; only a request that was never
-/// read may have no answer.
+/// Guards clients that send on open connections until a stopping planner exits: each request that the planner
+/// read is answered before the earliest SIGKILL, also one with a much longer deadline; only a request that it
+/// never read may have no answer.
 #[test]
 fn requests_on_open_connections_until_the_earliest_kill_are_answered() {
     for wait_ms in [1000, 8000] {
@@ -110,14 +110,14 @@
             .map(|number| {
                 let mut client = Wire::connect(&planner.owners);
                 client.send(&test(u64::MAX));
-                client.frame().expect("a passed test");
+                client.frame().expect("the answer to the health check");
                 std::thread::spawn(move || send_until_the_end(client, number * 1_000_000, wait_ms))
             })
             .collect();
         let term_at = Instant::now();
         planner.term();
         let ended = exits_before_the_kill(&mut planner, term_at);
-        assert!(ended, "it was killed with clients waiting ({wait_ms} ms)");
+        assert!(ended, "the planner did not exit before the earliest kill ({wait_ms} ms)");
         for client in clients {
             let record = client.join().expect("a client");
             let mut unanswered: Vec<u64> = record.sent.difference(&record.answered).copied().collect();
--- a/tests/soak/client.rs
+++ b/tests/soak/client.rs
@@ -114,14 +114,14 @@
     fn cancel(&mut self, shared: &Shared) {
         let Some((task, _)) = self.open.pop_first() else { return };
         let _ = self.stream.write_all(&give_up(task));
-        shared.ledger.update_request(task, |request, now| request.given_up_at = Some(now));
+        shared.ledger.update_request(task, |request, now| request.cancelled_at = Some(now));
     }
 
     /// Closes the connection and so cancels its open requests.
     fn leave(self, shared: &Shared) {
         let _ = self.stream.shutdown(Shutdown::Both);
         for task in self.open.keys() {
-            shared.ledger.update_request(*task, |request, now| request.given_up_at = Some(now));
+            shared.ledger.update_request(*task, |request, now| request.cancelled_at = Some(now));
         }
     }
 
@@ -157,7 +157,7 @@
                 shared.ledger.update_request(task, |request, now| request.answers.push(now));
             } else if message[2] == ANSWER {
                 shared.ledger.update_request(task, |request, now| {
-                    if request.given_up_at.is_none() {
+                    if request.cancelled_at.is_none() {
                         request.answers.push(now);
                     }
                 });
--- a/tests/soak/ledger.rs
+++ b/tests/soak/ledger.rs
@@ -23,7 +23,7 @@
     pub wait_s: Seconds,
     pub answers: Vec<Seconds>,
     /// Time at which its client cancelled it or closed the connection.
-    pub given_up_at: Option<Seconds>,
+    pub cancelled_at: Option<Seconds>,
     /// Needs no answer, as its planner was killed without a SIGTERM or did not read it.
     pub is_excused: bool,
 }
@@ -83,7 +83,7 @@
     }
 
     /// Records the end of a copy: the machine is about to report it, or the copy was cancelled.
-    pub fn over(&self, copy: usize) {
+    pub fn record_end(&self, copy: usize) {
         let now = self.now();
         let mut records = self.records.lock().expect("lock");
         records.copies[copy].over_at.get_or_insert(now);
@@ -112,7 +112,7 @@
 fn check_answers(task: u64, request: &Request) -> Option<String> {
     let by = request.sent_at + request.wait_s + ANSWER_LATE_S + SLACK_S;
     match request.answers[..] {
-        [] if request.is_excused || request.given_up_at.is_some() => None,
+        [] if request.is_excused || request.cancelled_at.is_some() => None,
         [] => Some(format!("lost: {task:x} has no answer: {request:?}")),
         [at] if at <= by => None,
         [at] => Some(format!("lost: {task:x} was answered {:.3} s late: {request:?}", at - by)),
@@ -123,20 +123,21 @@
 /// Checks that no attempt begins after its client cancelled, nor gets a longer time limit than its client has
 /// left.
 fn check_times(request: &Request, copy: &Copy) -> Option<String> {
-    let begins_by = request.given_up_at.map_or(f64::INFINITY, |at| at + BEGIN_LATE_S + SLACK_S);
+    let begins_by = request.cancelled_at.map_or(f64::INFINITY, |at| at + BEGIN_LATE_S + SLACK_S);
     if copy.arrived_at > begins_by {
         return Some(format!("lost: an attempt began after its client cancelled: {request:?}, {copy:?}"));
     }
     let left_s = request.sent_at + request.wait_s - copy.arrived_at;
-    let is_over = copy.left_s > left_s.max(0.0) + LIMIT_EXCESS_S + SLACK_S;
-    is_over.then(|| format!("time: {:.3} s were passed on with {left_s:.3} s left: {copy:?}", copy.left_s))
+    let is_too_long = copy.left_s > left_s.max(0.0) + LIMIT_EXCESS_S + SLACK_S;
+    is_too_long
+        .then(|| format!("time: {:.3} s were passed on with {left_s:.3} s left: {copy:?}", copy.left_s))
 }
 
 /// Checks that at most one copy of a request is open at a time.
 fn check_overlaps(copies: &[&Copy]) -> Vec<String> {
     let overlap = |pair: &[&Copy]| {
         let (first, second) = (pair[0], pair[1]);
-        let overlaps = first.over_at.is_none_or(|over| over > second.arrived_at + SLACK_S);
+        let overlaps = first.over_at.is_none_or(|record_end| record_end > second.arrived_at + SLACK_S);
         let machines = (first.machine, second.machine);
         overlaps.then(|| format!("duplicate: {first:?} overlaps {second:?}, on machines {machines:?}"))
     };
--- a/tests/soak/list.rs
+++ b/tests/soak/list.rs
@@ -59,7 +59,7 @@
 
     /// All events so far, in the form of a planner's configuration.
     pub fn known(&self) -> Value {
-        let events = &self.state.lock().expect("it").events;
+        let events = &self.state.lock().expect("lock").events;
         let notices: Vec<Value> =
             events.iter().map(|line| serde_json::from_slice(line).expect("an event")).collect();
         json!({"rev": notices.len(), "notices": notices})
@@ -68,7 +68,7 @@
     /// Ends all machines.
     pub fn end(&self) {
         self.is_over.store(true, Ordering::SeqCst);
-        self.state.lock().expect("it").ready.iter().for_each(|(_, machine)| machine.end());
+        self.state.lock().expect("lock").ready.iter().for_each(|(_, machine)| machine.end());
     }
 
     fn publish(state: &mut State, entry: Value) {
@@ -77,7 +77,7 @@
     }
 
     fn add(&self, ledger: &Arc<Ledger>, rng: &mut Pcg64Mcg, started_ms: u64) {
-        let mut state = self.state.lock().expect("it");
+        let mut state = self.state.lock().expect("lock");
         state.next_number += 1;
         let number = state.next_number;
         let machine = Machine::start(number, ledger.clone(), Pcg64Mcg::new(rng.gen()));
@@ -93,8 +93,8 @@
             let mut sent: usize = line.trim().trim_start_matches("watch ").parse().unwrap_or(0);
             while !self.is_over.load(Ordering::SeqCst) {
                 let new_events: Vec<u8> =
-                    self.state.lock().expect("it").events.iter().skip(sent).flatten().copied().collect();
-                sent = sent.max(self.state.lock().expect("it").events.len().min(sent + count(&new_events)));
+                    self.state.lock().expect("lock").events.iter().skip(sent).flatten().copied().collect();
+                sent = sent.max(self.state.lock().expect("lock").events.len().min(sent + count(&new_events)));
                 if stream.write_all(&new_events).is_err()
                     || stream.write_all(format!("{sent}\n").as_bytes()).is_err()
                 {
@@ -110,14 +110,14 @@
         while !self.is_over.load(Ordering::SeqCst) {
             sleep(Duration::from_millis(rng.gen_range(100..700)));
             if rng.gen_bool(0.4) {
-                let state = self.state.lock().expect("it");
+                let state = self.state.lock().expect("lock");
                 if let Some((_, machine)) = state.ready.choose(&mut rng) {
                     machine.hang(Duration::from_millis(rng.gen_range(50..900)));
                 }
                 continue;
             }
             let retired = {
-                let mut state = self.state.lock().expect("it");
+                let mut state = self.state.lock().expect("lock");
                 let at = rng.gen_range(0..state.ready.len());
                 state.ready.swap_remove(at)
             };
@@ -133,9 +133,9 @@
 
     /// Drains a machine, removes it from the list, and ends it some time later.
     fn retire(&self, (number, machine): &(usize, Machine), drain: Duration, linger: Duration) {
-        Self::publish(&mut self.state.lock().expect("it"), entry(*number, machine, "terminating", 0));
+        Self::publish(&mut self.state.lock().expect("lock"), entry(*number, machine, "terminating", 0));
         sleep(drain);
-        Self::publish(&mut self.state.lock().expect("it"), entry(*number, machine, "terminated", 0));
+        Self::publish(&mut self.state.lock().expect("lock"), entry(*number, machine, "terminated", 0));
         sleep(linger);
         machine.end();
     }
--- a/tests/soak/machine.rs
+++ b/tests/soak/machine.rs
@@ -24,8 +24,8 @@
 /// A machine's reaction to a set-up.
 #[derive(Clone, Copy, Debug)]
 enum Reaction {
-    /// The task starts after `after`, and completes `for_` later.
-    Run { after: Duration, for_: Duration },
+    /// The task starts after `after`, and completes `run_for` later.
+    Run { after: Duration, run_for: Duration },
     /// The set-up is refused with this cause.
     Refuse(u8),
     /// The machine does not answer.
@@ -41,10 +41,10 @@
         let mut ms = |range| Duration::from_millis(rng.gen_range(range));
         let (short_delay, long_delay, run_time) = (ms(0..30), ms(200..1500), ms(20..400));
         match rng.gen_range(0..100) {
-            0..=59 => Reaction::Run { after: short_delay, for_: run_time },
+            0..=59 => Reaction::Run { after: short_delay, run_for: run_time },
             60..=69 => Reaction::Refuse(FULL),
             70..=74 => Reaction::Refuse(ERROR),
-            75..=86 => Reaction::Run { after: long_delay, for_: run_time },
+            75..=86 => Reaction::Run { after: long_delay, run_for: run_time },
             87..=95 => Reaction::Silence,
             96..=97 => Reaction::Reset,
             _ => Reaction::Close,
@@ -76,8 +76,8 @@
     let mut lines = BufReader::new(stream);
     loop {
         let mut line = Vec::new();
-        let is_whole = lines.read_until(b'\n', &mut line).is_ok() && line.ends_with(b"\n");
-        if !is_whole || arrivals.send(Arrival { at: ledger.now(), line }).is_err() {
+        let is_complete = lines.read_until(b'\n', &mut line).is_ok() && line.ends_with(b"\n");
+        if !is_complete || arrivals.send(Arrival { at: ledger.now(), line }).is_err() {
             return;
         }
     }
@@ -164,14 +164,14 @@
 
     fn drop_all(&self, connection: &Connection) {
         let open = std::mem::take(&mut *connection.open.lock().expect("lock"));
-        open.values().for_each(|(copy, _)| self.ledger.over(*copy));
+        open.values().for_each(|(copy, _)| self.ledger.record_end(*copy));
     }
 
     fn handle_line(&self, connection: &Arc<Connection>, arrival: &Arrival, rng: &mut Pcg64Mcg) {
         let line = &arrival.line[..];
         let (kind, task) = kind_and_task(line);
         match kind.as_str() {
-            "launch" => self.take(connection, arrival, task, rng),
+            "launch" => self.handle_launch(connection, arrival, task, rng),
             "stop" => self.end_copy(connection, task),
             "check" => {
                 let message: Value = serde_json::from_slice(line).expect("a message");
@@ -184,11 +184,11 @@
 
     fn end_copy(&self, connection: &Connection, task: u64) {
         if let Some((copy, _)) = connection.open.lock().expect("lock").remove(&task) {
-            self.ledger.over(copy);
+            self.ledger.record_end(copy);
         }
     }
 
-    fn take(&self, connection: &Arc<Connection>, arrival: &Arrival, task: u64, rng: &mut Pcg64Mcg) {
+    fn handle_launch(&self, connection: &Arc<Connection>, arrival: &Arrival, task: u64, rng: &mut Pcg64Mcg) {
         let message: Value = serde_json::from_slice(&arrival.line).expect("a message");
         let left_ms: f64 =
             message["meta"]["left"].as_str().and_then(|left| left.parse().ok()).expect("a time");
@@ -209,14 +209,14 @@
                 self.drop_all(connection);
                 let _ = connection.stream.shutdown(Shutdown::Both);
             }
-            Reaction::Run { after, for_ } => {
+            Reaction::Run { after, run_for } => {
                 let (machine, connection) = (self.clone(), connection.clone());
-                spawn(move || machine.run(&connection, task, after, for_));
+                spawn(move || machine.run(&connection, task, after, run_for));
             }
         }
     }
 
-    fn run(&self, connection: &Connection, task: u64, after: Duration, for_: Duration) {
+    fn run(&self, connection: &Connection, task: u64, after: Duration, run_for: Duration) {
         sleep(after);
         {
             let mut open = connection.open.lock().expect("lock");
@@ -224,7 +224,7 @@
             *runs = true;
             connection.write(&running(task));
         }
-        sleep(for_);
+        sleep(run_for);
         let was_open = connection.open.lock().expect("lock").contains_key(&task);
         self.end_copy(connection, task);
         if was_open {
--- a/tests/soak/planners.rs
+++ b/tests/soak/planners.rs
@@ -45,7 +45,7 @@
     variables
 }
 
-/// Sends random signals to the planner, and restarts it where it ends, until the run is over.
+/// Sends random signals to the planner until the run is over, and restarts it after each stop.
 pub fn inject_signals(
     mut planner: Planner,
     slot: &PlannerSlot,
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Guards a machine that has just started where discovery's wall clock is an hour behind: with the start time
-/// that discovery reports the machine would count as warm and receive full load.
+/// Guards a machine that has just started while discovery's wall clock is an hour behind: by the start time
+/// that discovery reports, the machine would count as warm and receive full load.
 #[test]
 fn a_start_time_that_is_an_hour_off_counts_as_now() {
     let (list, address) = listener();
