--- a/src/placer/interface.rs
+++ b/src/placer/interface.rs
@@ -515,7 +515,7 @@
         request: RequestId,
         /// The machine.
         machine: MachineId,
-        /// When to give this attempt up.
+        /// The time at which the attempt times out.
         give_up_at: Seconds,
     },
     /// Final answer: refused; a retry by the owner is harmless.
--- a/src/placer/rules.rs
+++ b/src/placer/rules.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Mean pause before the next attempt after a refusal as full: the paper's value; half of it changed nothing.
+/// Mean pause before the next attempt after a refusal as full: the value of the paper on this algorithm.
 const PAUSE_MEAN_S: Seconds = 0.1;
 /// Share of the mean by which a pause is randomly shorter or longer, so that placers do not retry in step.
 const PAUSE_SPREAD: f64 = 0.8;
@@ -54,7 +54,7 @@
 const USE_MAX_AGE_S: Seconds = 3.0;
 /// Interval between probes of a machine where only probes bring load reports.
 const PROBE_INTERVAL_S: Seconds = 1.0;
-/// Number of probes for fresh reports that each task pays for, as probes have a price.
+/// Number of probes for fresh load reports that each submitted task allows, as probes have a price.
 const PROBES_PER_TASK: f64 = 0.3;
 /// Shortest interval between checks for due probes and list calls; longest between passes over the queue.
 const CHECK_INTERVAL_S: Seconds = 0.05;
@@ -869,7 +869,7 @@
         machine.recent_offers.push_back(now);
         let from = now - self.settings.cold_window_s * COLD_WINDOWS;
         machine.recent_offers.retain(|&sent_at| sent_at > from);
-        // One task at a time tests a suspect machine: the back-off runs on until this attempt is given up.
+        // One task at a time tests a suspect machine: the back-off lasts until this attempt times out.
         if machine.outage.failures > 0 {
             machine.outage.until = give_up_at;
         }
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -4,8 +4,8 @@
 //!
 //! The inputs are those that a socket or file would bring: a line of the machine list, a client's message, a
 //! machine's line, a datagram of another planner, the text of the operators' file. Each [`Output`] holds the
-//! bytes that the program would write, and their receiver. The simulated network accepts all bytes at once: an
-//! offer counts as sent as soon as it is written. Connections, with their queues and health checks
+//! bytes that the program would write, and their receiver. The simulated network accepts all bytes at once:
+//! an offer counts as sent as soon as it is written. Connections, with their queues and health checks
 //! ([`crate::life`] runs those), are not simulated.
 //!
 //! ```
@@ -52,11 +52,11 @@
 /// Start parameters of a planner, beside its settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
-    /// Seed of the planner's random draws. It also identifies this run of the planner to the other planners.
+    /// Seed of the planner's random draws. It is also the planner's incarnation number in its fleet.
     pub seed: u64,
-    /// Bytes that all jobs without a final answer may take in total.
+    /// Bytes that all pending jobs together may take.
     pub waiting_bytes: usize,
-    /// Number of placed tasks that the planner may hold.
+    /// Maximum number of running tasks.
     pub standing: usize,
 }
 
@@ -165,14 +165,14 @@
     /// If no planner can work with the settings.
     pub fn new(settings: &Value, start: Start) -> Result<Planner, Rejected> {
         let (settings, names) = vocabulary::settings(settings).map_err(Rejected::Settings)?;
-        let keep = CoreBounds {
+        let bounds = CoreBounds {
             waiting_bytes: start.waiting_bytes,
             standing: start.standing,
             history: 0,
             over: 0,
             over_s: 0.0,
         };
-        let core = Core::new(settings, names, start.seed, keep);
+        let core = Core::new(settings, names, start.seed, bounds);
         let core = core.map_err(|error| Rejected::Settings(error.to_string()))?;
         Ok(Planner { core, start, fleet: None, effects: Vec::new(), probes: 0 })
     }
@@ -245,7 +245,7 @@
         Ok(())
     }
 
-    /// Applies one message of a client: a set-up, a task that is placed already, or a release.
+    /// Applies one message of a client: a set-up, a task that already runs, or a release.
     ///
     /// # Errors
     /// If the message cannot be used.
@@ -382,12 +382,12 @@
         self.core.machines_examined()
     }
 
-    /// Number of tasks placed at a machine.
+    /// Number of tasks that run at a machine.
     pub fn standing_at(&self, machine: MachineId) -> usize {
         self.core.standing_at(machine)
     }
 
-    /// Number of jobs and groups without a final answer.
+    /// Number of jobs and groups that wait for their final answer.
     pub fn pending(&self) -> usize {
         self.core.pending()
     }
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -84,7 +84,7 @@
         let send_by = window_ends.into_iter().chain(share_ends).fold(until, f64::min);
         self.last_fence += u64::from(same_machine_again);
         let fence = same_machine_again.then_some(self.last_fence);
-        let (sent, give_up_fence, unconfirmed_end) = (false, None, false);
+        let (sent, cancel_fence, unconfirmed_end) = (false, None, false);
         job.open_attempt = Some(OpenAttempt {
             attempt,
             machine,
@@ -92,7 +92,7 @@
             at: now,
             sent,
             fence,
-            give_up_fence,
+            cancel_fence,
             unconfirmed_end,
             departure: None,
         });
@@ -120,7 +120,7 @@
         // An answer that arrives after a cancellation is dropped: the cancellation was sent on the same
         // connection and still reaches the machine.
         let open_attempt = self.jobs.get(&id).and_then(|j| j.open_attempt);
-        if !open_attempt.is_some_and(|t| t.is_answered_by(at) && t.give_up_fence.is_none()) {
+        if !open_attempt.is_some_and(|t| t.is_answered_by(at) && t.cancel_fence.is_none()) {
             return;
         }
         let Some(open_attempt) = self.remove_open_attempt(id) else { return };
@@ -215,7 +215,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(open_attempt) =
-            job.open_attempt.as_mut().filter(|t| t.attempt == attempt && t.give_up_fence.is_none())
+            job.open_attempt.as_mut().filter(|t| t.attempt == attempt && t.cancel_fence.is_none())
         else {
             return;
         };
@@ -243,7 +243,7 @@
         effects: &mut Vec<Effect>,
     ) -> Option<u64> {
         let job = self.jobs.get_mut(&id)?;
-        let open_attempt = job.open_attempt.as_mut().filter(|t| t.give_up_fence.is_none())?;
+        let open_attempt = job.open_attempt.as_mut().filter(|t| t.cancel_fence.is_none())?;
         let (machine, attempt) = (open_attempt.machine, open_attempt.attempt);
         effects.push(Effect::GiveUp { machine, job: id });
         // Groups keep track of their members' copies themselves.
@@ -252,7 +252,7 @@
             return None;
         }
         self.last_fence += 1;
-        open_attempt.give_up_fence = Some(self.last_fence);
+        open_attempt.cancel_fence = Some(self.last_fence);
         let until = (now + CONFIRM_TIMEOUT_S).min(job.task.deadline - CONFIRM_SPARE_S);
         if until <= now {
             self.cancel_unconfirmed(now, id, attempt, effects);
@@ -316,7 +316,7 @@
                 open_attempt.fence = None;
             }
         }
-        for job in self.open_attempts_at(machine, |t| t.give_up_fence.is_some_and(|fence| fence <= ask)) {
+        for job in self.open_attempts_at(machine, |t| t.cancel_fence.is_some_and(|fence| fence <= ask)) {
             self.end_attempt(now, job, Outcome::TimedOut, Reason::Unknown, None, effects);
         }
     }
@@ -331,7 +331,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if job.open_attempt.is_some_and(|t| t.attempt == attempt && t.give_up_fence.is_some()) {
+        if job.open_attempt.is_some_and(|t| t.attempt == attempt && t.cancel_fence.is_some()) {
             job.unconfirmed = true;
             self.mark_unconfirmed(id);
             self.end_attempt(now, id, Outcome::TimedOut, Reason::Unknown, None, effects);
@@ -388,7 +388,7 @@
         if open_attempt.sent {
             job.may_have_run(&open_attempt);
         }
-        if open_attempt.give_up_fence.is_none() {
+        if open_attempt.cancel_fence.is_none() {
             effects.push(Effect::GiveUp { machine: open_attempt.machine, job: id });
         }
         if open_attempt.sent && matches!(job.owner, Owner::Group { .. }) {
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -200,33 +200,39 @@
         let version = self.history.next_version();
         let Some(record) = self.groups.records.get_mut(&id) else { return };
         record.version = version;
-        if let Some(record) = self.groups.records.get(&id).filter(|_| self.keep.history > 0) {
+        if let Some(record) = self.groups.records.get(&id).filter(|_| self.bounds.history > 0) {
             let object = Object::Group(Arc::new(self.group_view(id, record)));
             self.history.push(kind, object);
             effects.push(Effect::Changed);
         }
     }
 
-    pub(super) fn submit_group(&mut self, now: Seconds, ask: GroupSubmission, effects: &mut Vec<Effect>) {
-        let id = ask.group;
+    pub(super) fn submit_group(
+        &mut self,
+        now: Seconds,
+        submission: GroupSubmission,
+        effects: &mut Vec<Effect>,
+    ) {
+        let id = submission.group;
         if self.groups.records.contains_key(&id) {
             return;
         }
-        let starts = ask.members.iter().map(|(_, task)| self.groups.starts.expected(task.service)).collect();
-        let mut group = Group::new(ask.policy, ask.deadline, starts, id.0);
+        let starts =
+            submission.members.iter().map(|(_, task)| self.groups.starts.expected(task.service)).collect();
+        let mut group = Group::new(submission.policy, submission.deadline, starts, id.0);
         let mut actions = Vec::new();
         group.begin(now, &mut actions);
         let member = |(spec, task)| Member { spec, task, job: None };
-        if let Some(key) = &ask.key {
+        if let Some(key) = &submission.key {
             self.groups.keys.insert(key.clone(), id);
         }
         let record = GroupRecord {
             group,
-            members: ask.members.into_iter().map(member).collect(),
-            key: ask.key,
-            digest: ask.digest,
-            deadline: ask.deadline,
-            share: ask.share,
+            members: submission.members.into_iter().map(member).collect(),
+            key: submission.key,
+            digest: submission.digest,
+            deadline: submission.deadline,
+            share: submission.share,
             jobs_created: 0,
             answer: None,
             version: 0,
@@ -380,8 +386,8 @@
     fn finish_group(&mut self, now: Seconds, id: GroupId, effects: &mut Vec<Effect>) {
         self.group_changed(id, ChangeKind::Modified, effects);
         self.groups.over.push_back(id);
-        self.alarm(now + self.keep.over_s, Alarm::ForgetGroup(id));
-        while self.groups.over.len() > self.keep.over {
+        self.alarm(now + self.bounds.over_s, Alarm::ForgetGroup(id));
+        while self.groups.over.len() > self.bounds.over {
             let Some(oldest) = self.groups.over.front().copied() else { break };
             self.forget_group(oldest, effects);
         }
@@ -401,7 +407,7 @@
     /// member, the stop order is repeated whenever the machine reconnects.
     pub(super) fn record_possible_copy(&mut self, job: RequestId, machine: MachineId) {
         if !self.nodes.contains(machine) {
-            return; // It has left the list: its process is gone.
+            return; // It has left the list: its process counts as gone.
         }
         self.possible_copies.record(job, machine);
         let Some(Owner::Group { group, member }) = self.jobs.get(&job).map(|j| j.owner) else { return };
--- a/src/state/groups/tests.rs
+++ b/src/state/groups/tests.rs
@@ -31,7 +31,7 @@
     End(u32, RequestId),
     Reply(u32, u64, RequestId, Option<Outcome>),
     Reconnect(u32),
-    Resumes(u32),
+    Resume(u32),
 }
 
 /// A simulated machine.
@@ -44,11 +44,11 @@
     inbox: Vec<(u64, Message)>,
     /// Copies, and whether each is running.
     copies: BTreeMap<RequestId, bool>,
-    /// Messages that wait for a connection: stop orders first, then attempts.
+    /// Messages that wait for a connection. After a reconnect, stop orders are sent first, then attempts.
     waiting: Vec<Message>,
 }
 
-/// One run of a copy, as the machine sees it: group, member, start and end.
+/// One run of a copy, as its machine records it: group, member, start and end.
 type CopyRun = (GroupId, usize, Seconds, Seconds);
 
 struct Simulation {
@@ -103,9 +103,9 @@
         self.apply_input(Input::List { kind: ListKind::Changes, notices: all.iter().map(notice).collect() });
     }
 
-    fn schedule(&mut self, after: Seconds, handle: SimEvent) {
+    fn schedule(&mut self, after: Seconds, event: SimEvent) {
         self.next += 1;
-        self.queue.insert((((self.now + after) * 1e6) as u64, self.next), handle);
+        self.queue.insert((((self.now + after) * 1e6) as u64, self.next), event);
     }
 
     fn apply_input(&mut self, input: Input) {
@@ -212,16 +212,16 @@
         }
     }
 
-    fn handle(&mut self, handle: SimEvent) {
-        match handle {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
             SimEvent::Arrive(at, link, message) => self.receive(at, link, message),
             SimEvent::Start(at, job) => {
                 if let Some(runs) = self.machines[at as usize].copies.get_mut(&job) {
                     *runs = true;
                     self.runs.insert(job, (at, self.now));
                     self.reply(at, job, None);
-                    let life = self.rng.gen_range(1.0..3.0);
-                    self.schedule(life, SimEvent::End(at, job));
+                    let run_s = self.rng.gen_range(1.0..3.0);
+                    self.schedule(run_s, SimEvent::End(at, job));
                 }
             }
             SimEvent::End(at, job) => {
@@ -255,7 +255,7 @@
                 waiting.sort_by_key(|m| matches!(m, Message::Launch(..)));
                 waiting.into_iter().for_each(|message| self.send(at, message));
             }
-            SimEvent::Resumes(at) => {
+            SimEvent::Resume(at) => {
                 let machine = &mut self.machines[at as usize];
                 machine.hangs = false;
                 let inbox = std::mem::take(&mut machine.inbox);
@@ -276,9 +276,9 @@
             // due.
             self.now = self.now.max(due as f64 / 1e6 + 2e-6);
             match self.queue.pop_first() {
-                Some((key, handle)) if key.0 <= due => self.handle(handle),
-                Some((key, handle)) => {
-                    self.queue.insert(key, handle);
+                Some((key, event)) if key.0 <= due => self.handle(event),
+                Some((key, event)) => {
+                    self.queue.insert(key, event);
                     self.apply_input(Input::Tick);
                 }
                 None => self.apply_input(Input::Tick),
@@ -330,17 +330,17 @@
                 changes.extend([(from, true, member), (until, false, member)]);
             }
             changes.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            let (mut runs, mut since, mut whole) = (BTreeMap::new(), None, false);
+            let (mut runs, mut since, mut complete) = (BTreeMap::new(), None, false);
             for (at, starts, member) in changes {
                 let count: &mut i32 = runs.entry(member).or_default();
                 *count += if starts { 1 } else { -1 };
                 assert!(*count <= 1, "two copies of member {member} of {group:?}");
                 let running = runs.values().filter(|c| **c > 0).count();
-                whole = (whole && running > 0) || running == size;
-                if since.is_none() && running > 0 && !whole {
+                complete = (complete && running > 0) || running == size;
+                if since.is_none() && running > 0 && !complete {
                     since = Some(at);
                 }
-                if running == 0 || whole {
+                if running == 0 || complete {
                     all.extend(since.take().map(|from| at - from));
                 }
             }
@@ -369,7 +369,7 @@
                 1 => sim.break_connection(at, true),
                 2 if hangs => {
                     sim.machines[at as usize].hangs = true;
-                    sim.schedule(0.4, SimEvent::Resumes(at));
+                    sim.schedule(0.4, SimEvent::Resume(at));
                 }
                 3 => sim.list(&[(at, Standing::Draining)]),
                 4 => sim.list(&[(at, Standing::Ready)]),
@@ -413,7 +413,7 @@
 /// Guards against sending members of a group that is larger than the fleet: it is refused before that, as no
 /// retry can help.
 #[test]
-fn a_group_larger_than_the_fleet_is_turned_away() {
+fn a_group_larger_than_the_fleet_is_refused() {
     let mut sim = Simulation::new(1, 2);
     let id = sim.group(1, 9, 30.0, OnLoss::Keep);
     assert!(matches!(sim.view(id).answer, Some(Answer::Refused { why: Why::NoRoom, .. })));
@@ -438,7 +438,7 @@
     // The connection is reset meanwhile: messages in flight are lost and sent again.
     sim.break_connection(0, false);
     sim.run(0.2);
-    sim.handle(SimEvent::Resumes(0));
+    sim.handle(SimEvent::Resume(0));
     sim.run(0.1);
     assert!(sim.machines[0].copies.is_empty(), "{:?}", sim.machines[0].copies);
     assert!(sim.view(id).members.iter().all(|m| m.unreachable.is_empty()));
@@ -474,10 +474,10 @@
         let at = sim.view(id).members[0].job.and_then(|job| sim.core.job(job)?.machine).expect("a machine");
         sim.break_connection(at.0, true);
         sim.run(0.3);
-        let standing = sim.machines.iter().map(|m| m.copies.len()).sum::<usize>();
+        let copies = sim.machines.iter().map(|m| m.copies.len()).sum::<usize>();
         match on_loss {
-            OnLoss::Replace => assert_eq!((sim.view(id).phase, standing), (GroupPhase::Standing, 3)),
-            _ => assert_eq!((sim.view(id).phase, standing), (GroupPhase::Over, 0)),
+            OnLoss::Replace => assert_eq!((sim.view(id).phase, copies), (GroupPhase::Standing, 3)),
+            _ => assert_eq!((sim.view(id).phase, copies), (GroupPhase::Over, 0)),
         }
     }
 }
--- a/src/state/interface.rs
+++ b/src/state/interface.rs
@@ -164,9 +164,9 @@
     GroupSettings(Option<Arc<GroupSettings>>),
     /// A new operators' file was rejected; the current limits stay in force.
     LimitsRefused { why: Vec<String> },
-    /// The planner joins a fleet; sent once, before any other input.
+    /// The planner joins a fleet as this incarnation (process start); sent once, before any other input.
     Join { plan: Plan, life: Incarnation },
-    /// Messages of another planner; `Incarnation` identifies the incarnation (process start) that sent them.
+    /// Messages of another planner. The incarnation is a number that differs between its process starts.
     Peer { from: (Member, Incarnation), messages: Vec<PeerMessage> },
     /// Time has advanced; due alarms are handled.
     Tick,
@@ -190,8 +190,8 @@
     GiveUp { machine: MachineId, job: RequestId },
     /// Stop a running task.
     Stop { machine: MachineId, job: RequestId, cause: u8 },
-    /// Send the connection check numbered `ask` to the machine. Its answer shows that the machine received
-    /// all that was written before.
+    /// Send the connection check (fence) numbered `ask` to the machine. Its answer shows that the machine
+    /// received all that was written before.
     SendFence { machine: MachineId, ask: u64 },
     /// Send a probe, to which the machine answers with its report.
     Probe { machine: MachineId },
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -84,7 +84,7 @@
     pub fence: Option<u64>,
     /// Set once the attempt is cancelled: the connection check whose answer confirms the cancellation. The
     /// attempt counts as open until then.
-    pub give_up_fence: Option<u64>,
+    pub cancel_fence: Option<u64>,
     /// The attempt ended without confirmation by its machine: a copy may run, and an answer may still arrive.
     pub unconfirmed_end: bool,
     /// Set if the machine left the list and its connection is not known to have ended.
@@ -148,27 +148,27 @@
     ///
     /// # Errors
     /// The name of the field that is out of range.
-    pub fn admits(&self, now: Seconds, ask: &JobSubmission) -> Result<(), &'static str> {
-        let room = ask.task.room;
-        let class = self.settings.classes.get(ask.task.class).ok_or("class")?;
+    pub fn admits(&self, now: Seconds, submission: &JobSubmission) -> Result<(), &'static str> {
+        let room = submission.task.room;
+        let class = self.settings.classes.get(submission.task.class).ok_or("class")?;
         let (cores, memory) = (self.settings.cores_multiple, self.settings.memory_multiple);
         let limit = |kind: &Kind| Room { cores: kind.size.cores * cores, memory: kind.size.memory * memory };
         let of_kind = |&(at, _): &(usize, &Kind)| class.kind.is_none_or(|kind| kind == at);
         let mut kinds = self.settings.kinds.iter().enumerate().filter(of_kind);
         let faults = [
-            (ask.job.0 == 0, "id"),
-            (ask.spec.name.is_empty(), "name"),
-            (matches!(class.idempotency, Idempotency::Keyed { .. }) && ask.spec.key.is_none(), "key"),
+            (submission.job.0 == 0, "id"),
+            (submission.spec.name.is_empty(), "name"),
+            (matches!(class.idempotency, Idempotency::Keyed { .. }) && submission.spec.key.is_none(), "key"),
             (!(room.cores > 0.0 && room.memory > 0.0), "room"),
             (!kinds.any(|(_, kind)| room.within(limit(kind))), "room"),
-            (ask.task.deadline - now > class.deadline_s * MAX_WAIT_MULTIPLE, "waiting time"),
+            (submission.task.deadline - now > class.deadline_s * MAX_WAIT_MULTIPLE, "waiting time"),
         ];
         faults.iter().find(|(wrong, _)| *wrong).map_or(Ok(()), |(_, what)| Err(*what))
     }
 
-    pub(super) fn submit(&mut self, now: Seconds, mut ask: JobSubmission, effects: &mut Vec<Effect>) {
-        let (id, owner) = (ask.job, ask.owner);
-        ask.task.deadline = ask.task.deadline.min(self.answers_by);
+    pub(super) fn submit(&mut self, now: Seconds, mut submission: JobSubmission, effects: &mut Vec<Effect>) {
+        let (id, owner) = (submission.job, submission.owner);
+        submission.task.deadline = submission.task.deadline.min(self.answers_by);
         if self.jobs.contains_key(&id) {
             return self.reject_duplicate_id(now, id, owner, effects);
         }
@@ -183,15 +183,15 @@
             let (why, retry_in_s) = (Refusal::Busy, BUSY_RETRY_S);
             return effects.push(Effect::Refused { owner, job: id, why, retry_in_s });
         }
-        let (ask, ticket) = match self.apply_limits(now, ask) {
+        let (submission, ticket) = match self.apply_limits(now, submission) {
             Ok(taken) => taken,
             Err(turned) => {
                 let (why, retry_in_s) = (Refusal::Limit(turned.why), turned.retry_in_s);
                 return effects.push(Effect::Refused { owner, job: id, why, retry_in_s });
             }
         };
-        let task = ask.task;
-        self.add(now, ask, Phase::Pending);
+        let task = submission.task;
+        self.add(now, submission, Phase::Pending);
         if let Some(job) = self.jobs.get_mut(&id) {
             job.ticket = ticket;
         }
@@ -220,26 +220,26 @@
         }
     }
 
-    pub(super) fn add(&mut self, now: Seconds, ask: JobSubmission, phase: Phase) {
+    pub(super) fn add(&mut self, now: Seconds, submission: JobSubmission, phase: Phase) {
         let (mut may_have_run_since, mut may_have_run_location) = (None, None);
-        if let (Some(key), Owner::Rest | Owner::Group { .. }) = (&ask.spec.key, ask.owner) {
-            let at = (ask.spec.class.clone(), key.clone());
-            let before = self.keys.insert(at, ask.job).and_then(|before| self.jobs.get(&before));
+        if let (Some(key), Owner::Rest | Owner::Group { .. }) = (&submission.spec.key, submission.owner) {
+            let at = (submission.spec.class.clone(), key.clone());
+            let before = self.keys.insert(at, submission.job).and_then(|before| self.jobs.get(&before));
             // A retry stays in the repeat window that the first try opened. A job that was running has
             // certainly ended, and after the window a request counts as a new placement, as on the platform.
             let before = before.filter(|j| j.machine.is_none());
             may_have_run_location = before.and_then(|j| j.may_have_run_location);
             let risky = before.and_then(|j| j.may_have_run_since);
             may_have_run_since =
-                risky.filter(|&since| match self.settings.classes[ask.task.class].idempotency {
+                risky.filter(|&since| match self.settings.classes[submission.task.class].idempotency {
                     Idempotency::Keyed { window_s, .. } => now < since + window_s,
                     _ => true,
                 });
         }
         let job = Job {
-            owner: ask.owner,
-            spec: ask.spec,
-            task: ask.task,
+            owner: submission.owner,
+            spec: submission.spec,
+            task: submission.task,
             phase,
             attempts: 0,
             machine: None,
@@ -261,19 +261,19 @@
             Owner::Rest => self.open_rest += 1,
             Owner::Group { .. } => {}
             Owner::Link(link) => {
-                self.links.entry(link).or_default().jobs.insert(ask.job);
+                self.links.entry(link).or_default().jobs.insert(submission.job);
             }
         }
-        self.jobs.insert(ask.job, job);
+        self.jobs.insert(submission.job, job);
         if phase == Phase::Pending {
-            self.count_pending(ask.job, true);
+            self.count_pending(submission.job, true);
         }
     }
 
     /// Counts a job as pending, or removes it from the count.
-    pub(super) fn count_pending(&mut self, id: RequestId, waits: bool) {
+    pub(super) fn count_pending(&mut self, id: RequestId, is_pending: bool) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let step = |count: usize, by: usize| if waits { count + by } else { count.saturating_sub(by) };
+        let step = |count: usize, by: usize| if is_pending { count + by } else { count.saturating_sub(by) };
         self.pending = step(self.pending, 1);
         self.pending_bytes = step(self.pending_bytes, JOB_BYTES + job.spec.body.len());
         if let Owner::Link(link) = job.owner {
@@ -285,18 +285,18 @@
     pub(super) fn adopt(
         &mut self,
         now: Seconds,
-        ask: JobSubmission,
+        submission: JobSubmission,
         machine: MachineId,
         effects: &mut Vec<Effect>,
     ) {
-        if self.jobs.contains_key(&ask.job) {
+        if self.jobs.contains_key(&submission.job) {
             return; // The owner may report a task that is already known.
         }
-        let (id, task, owner) = (ask.job, ask.task, ask.owner);
-        if self.jobs.len() - self.pending - self.over.len() >= self.keep.standing {
+        let (id, task, owner) = (submission.job, submission.task, submission.owner);
+        if self.jobs.len() - self.pending - self.over.len() >= self.bounds.standing {
             return effects.push(Effect::Released { owner, job: id, outcome: Outcome::Lost });
         }
-        self.add(now, ask, Phase::Running);
+        self.add(now, submission, Phase::Running);
         if let Some(job) = self.jobs.get_mut(&id) {
             (job.attempts, job.machine, job.placed_at) = (1, Some(machine), now);
         }
@@ -418,14 +418,14 @@
         if let Some(machine) = job.machine {
             self.nodes.remove_running(machine, id);
         }
-        if self.keep.over == 0 {
+        if self.bounds.over == 0 {
             self.jobs.remove(&id);
             return;
         }
         self.changed(id, ChangeKind::Modified, effects);
         self.over.push_back(id);
-        self.alarm(now + self.keep.over_s, Alarm::ForgetJob(id));
-        while self.over.len() > self.keep.over {
+        self.alarm(now + self.bounds.over_s, Alarm::ForgetJob(id));
+        while self.over.len() > self.bounds.over {
             if let Some(oldest) = self.over.front().copied() {
                 self.forget(oldest, effects);
             }
@@ -450,7 +450,7 @@
         let version = self.history.next_version();
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.version = version;
-        if let Some(job) = self.jobs.get(&id).filter(|_| self.keep.history > 0) {
+        if let Some(job) = self.jobs.get(&id).filter(|_| self.bounds.history > 0) {
             let object = Object::Job(Arc::new(self.job_view(id, job)));
             self.history.push(kind, object);
             effects.push(Effect::Changed);
--- a/src/state/limits.rs
+++ b/src/state/limits.rs
@@ -75,25 +75,25 @@
     pub(super) fn apply_limits(
         &mut self,
         now: Seconds,
-        mut ask: JobSubmission,
+        mut submission: JobSubmission,
     ) -> Result<(JobSubmission, Option<Ticket>), Rejection> {
-        let front = match ask.owner {
+        let front = match submission.owner {
             Owner::Link(_) => Front::Platform,
             Owner::Rest | Owner::Group { .. } => Front::Rest,
         };
-        let (class, room) = (ask.task.class, ask.task.room);
-        let subject = Subject { front, class, service: &ask.spec.service, room };
-        let Some(resolved) = self.limits.limits.resolve(&subject) else { return Ok((ask, None)) };
+        let (class, room) = (submission.task.class, submission.task.room);
+        let subject = Subject { front, class, service: &submission.spec.service, room };
+        let Some(resolved) = self.limits.limits.resolve(&subject) else { return Ok((submission, None)) };
         let Resolved { task, total_s, .. } = *resolved;
-        let until = ask.task.deadline.min(now + total_s);
+        let until = submission.task.deadline.min(now + total_s);
         let ticket = self.limits.limits.admit(now, &resolved, until)?;
         // The group decides on retries of a member that may have run: it sends no copy before the earlier one
         // is proved gone.
-        let copies = task.copies && !matches!(ask.owner, Owner::Group { .. });
-        ask.task.limits = TaskLimits { copies, ..task };
+        let copies = task.copies && !matches!(submission.owner, Owner::Group { .. });
+        submission.task.limits = TaskLimits { copies, ..task };
         // The limits may shorten the owner's deadline, but never extend it.
-        ask.task.deadline = until;
-        Ok((ask, ticket))
+        submission.task.deadline = until;
+        Ok((submission, ticket))
     }
 
     /// Removes a job from the pending ones and returns its budget.
--- a/src/state/limits/tests.rs
+++ b/src/state/limits/tests.rs
@@ -28,8 +28,8 @@
         "report": {"source": "silent"}, "rules": {"ask_every_s": 10.0, "fall_s": 2.0, "warm_within_s": 16.0},
         "tick_s": 0.002, "zone": "hall-a"});
     let (settings, vocabulary) = vocabulary::settings(&boot).expect("settings");
-    let keep = CoreBounds { waiting_bytes: 1 << 20, standing: 1000, history: 100, over: 10, over_s: 100.0 };
-    Core::new(settings, vocabulary, 7, keep).expect("a core")
+    let bounds = CoreBounds { waiting_bytes: 1 << 20, standing: 1000, history: 100, over: 10, over_s: 100.0 };
+    Core::new(settings, vocabulary, 7, bounds).expect("a core")
 }
 
 /// The auditor's record of a job.
@@ -306,7 +306,7 @@
 
 /// Guards pending jobs against a file that is loaded while they wait, and new jobs against the former file.
 #[test]
-fn a_job_keeps_the_limits_under_which_it_was_taken() {
+fn a_job_keeps_the_limits_under_which_it_was_accepted() {
     let of = |attempts| {
         figures(crate::decide::limits::Figures {
             attempts: Some(attempts),
--- a/src/state/machine_table.rs
+++ b/src/state/machine_table.rs
@@ -3,7 +3,7 @@
 //!
 //! - An entry and its address change only through [`MachineTable::insert`], [`MachineTable::update`] and
 //!   [`MachineTable::remove`], so that the indexes always agree with the entries
-//!   (`the_indexes_tell_what_a_plain_search_does`).
+//!   (`the_indexes_agree_with_a_full_search`).
 //! - A running job is recorded at its machine, or among the jobs whose machine the list has not named
 //!   (`a_task_of_an_unlisted_machine_is_found_once_it_is_listed`).
 //! - The number of machines examined for one update does not grow with the number of machines
--- a/src/state/machine_table/tests.rs
+++ b/src/state/machine_table/tests.rs
@@ -91,7 +91,7 @@
 
 proptest! {
     #[test]
-    fn the_indexes_tell_what_a_plain_search_does(steps in proptest::collection::vec(step(), 0..40)) {
+    fn the_indexes_agree_with_a_full_search(steps in proptest::collection::vec(step(), 0..40)) {
         let mut core = core("repeatable");
         for step in steps {
             match step {
--- a/src/state/machines.rs
+++ b/src/state/machines.rs
@@ -18,7 +18,7 @@
         let version = self.history.next_version();
         let Some(node) = self.nodes.get_mut(id) else { return };
         node.version = version;
-        if let Some(node) = self.nodes.get(id).filter(|_| self.keep.history > 0) {
+        if let Some(node) = self.nodes.get(id).filter(|_| self.bounds.history > 0) {
             let object = Object::Machine(Arc::new(self.machine_view(id, node)));
             self.history.push(kind, object);
             effects.push(Effect::Changed);
@@ -51,19 +51,19 @@
             self.prove_all_gone(machine);
             // Attempts in the send queue were decided for a warm machine. Sent by all planners at once, they
             // could overload a cold one.
-            self.withdraw_queued(now, machine, effects);
+            self.cancel_queued(now, machine, effects);
         }
         for machine in gone {
             self.begin_departure(now, machine, effects);
         }
         self.prune_names();
         for machine in self.nodes.not_ready() {
-            self.withdraw_queued(now, machine, effects);
+            self.cancel_queued(now, machine, effects);
         }
     }
 
     /// Cancels the attempts that are queued for a machine, so that the placer decides again.
-    fn withdraw_queued(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
+    fn cancel_queued(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
         for job in self.open_attempts_at(machine, |t| !t.sent) {
             effects.push(Effect::GiveUp { machine, job });
             self.end_attempt(now, job, Outcome::Moot, Reason::Unknown, None, effects);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -76,7 +76,7 @@
     open_rest: usize,
     /// The number of the last connection check; each check has a new number.
     last_fence: u64,
-    keep: CoreBounds,
+    bounds: CoreBounds,
     history: History,
     limits: ActiveLimits,
     groups: Groups,
@@ -95,7 +95,7 @@
         settings: Settings,
         vocabulary: Vocabulary,
         seed: u64,
-        keep: CoreBounds,
+        bounds: CoreBounds,
     ) -> Result<Self, SettingsError> {
         let placer = Placer::new(settings.clone(), seed)?;
         let limits = ActiveLimits::new(Limits::new(&settings, vocabulary.classes().to_vec()));
@@ -114,8 +114,8 @@
             pending_bytes: 0,
             open_rest: 0,
             last_fence: 0,
-            keep,
-            history: History::new(keep.history),
+            bounds,
+            history: History::new(bounds.history),
             limits,
             groups: Groups::default(),
             possible_copies: PossibleCopies::default(),
@@ -161,7 +161,7 @@
 
     /// Whether the memory for pending jobs is used up, so that new jobs are refused.
     pub fn is_full(&self) -> bool {
-        self.pending_bytes >= self.keep.waiting_bytes
+        self.pending_bytes >= self.bounds.waiting_bytes
     }
 
     /// The numbers of pending jobs and running tasks of a client connection.
--- a/src/state/shutdown.rs
+++ b/src/state/shutdown.rs
@@ -22,14 +22,14 @@
         if now < self.answers_by {
             return;
         }
-        let waits = self.jobs.iter().filter(|(_, job)| job.phase == Phase::Pending);
-        let waits: Vec<(RequestId, FinalAnswer)> =
-            waits.map(|(&id, job)| (id, final_answer_for(job))).collect();
-        if !waits.is_empty() {
-            effects.push(Effect::CutShort { requests: waits.len() as u64 });
+        let pending = self.jobs.iter().filter(|(_, job)| job.phase == Phase::Pending);
+        let pending: Vec<(RequestId, FinalAnswer)> =
+            pending.map(|(&id, job)| (id, final_answer_for(job))).collect();
+        if !pending.is_empty() {
+            effects.push(Effect::CutShort { requests: pending.len() as u64 });
         }
-        for (id, last) in waits {
-            self.withdraw(now, id, last, effects);
+        for (id, final_answer) in pending {
+            self.withdraw(now, id, final_answer, effects);
         }
     }
 }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -35,8 +35,8 @@
         "permissions": {"max_attempts": 4}, "report": {"source": "silent"},
         "rules": {"ask_every_s": 10.0, "fall_s": 2.0, "warm_within_s": 16.0}, "tick_s": 0.002, "zone": "z"});
     let (settings, vocabulary) = vocabulary::settings(&boot).expect("settings");
-    let keep = CoreBounds { waiting_bytes: 1 << 20, standing: 3, history: 100, over: 10, over_s: 100.0 };
-    Core::new(settings, vocabulary, 7, keep).expect("a core")
+    let bounds = CoreBounds { waiting_bytes: 1 << 20, standing: 3, history: 100, over: 10, over_s: 100.0 };
+    Core::new(settings, vocabulary, 7, bounds).expect("a core")
 }
 
 impl Bench {
@@ -331,7 +331,7 @@
 /// same connection confirms the cancellation and allows another attempt.
 #[test]
 fn a_cancelled_attempt_is_open_until_its_machine_confirms() {
-    for hears in [true, false] {
+    for confirms in [true, false] {
         let mut bench = Bench::new("repeatable");
         bench.core.settings.probes = true;
         let at = launched(&bench.submit(1, None)).expect("a launch");
@@ -356,7 +356,7 @@
             None
         );
         assert!(bench.bound(at, 1).is_empty(), "an answer that crossed the cancellation is dropped");
-        if hears {
+        if confirms {
             assert!(launched(&bench.apply_input(Input::FenceAnswered { machine: at, ask })).is_some());
             continue;
         }
@@ -553,16 +553,16 @@
 #[test]
 fn pending_jobs_of_a_faulty_connection_are_answered() {
     let mut bench = Bench::new("repeatable");
-    let stands = launched(&bench.submit(1, None)).expect("a launch");
+    let at = launched(&bench.submit(1, None)).expect("a launch");
     bench.sent(1, 0);
-    bench.bound(stands, 1);
+    bench.bound(at, 1);
     bench.submit(2, None);
     bench.submit(3, None);
     bench.sent(3, 0);
     let ended = bench.apply_input(Input::OwnerFaulty { link: 1 });
     assert_eq!(answers(&ended), 2);
     assert!(cancelled_at(&ended, 2).is_some() && cancelled_at(&ended, 3).is_some());
-    assert_eq!((bench.core.pending(), bench.core.standing_at(stands)), (0, 1));
+    assert_eq!((bench.core.pending(), bench.core.standing_at(at)), (0, 1));
 }
 
 /// Guards rule 2: a further attempt that is still queued when the repeat window ends is cancelled at that
@@ -576,7 +576,11 @@
     bench.now = 101.0;
     let again = launched(&bench.apply_input(Input::LinkBroken { machine: first, proved: true }))
         .expect("a further attempt");
-    assert_eq!(bench.core.next_alarm(), Some(102.0), "the next alarm is the end of the repeat window");
+    assert_eq!(
+        bench.core.next_alarm(),
+        Some(102.0),
+        "the sender handles due alarms before it writes; the end of the window is the next one"
+    );
     assert_eq!(cancelled_at(&bench.tick_at(101.99), 1), None);
     let ended = bench.tick_at(102.0);
     assert_eq!(cancelled_at(&ended, 1), Some(again));
--- a/src/vocabulary.rs
+++ b/src/vocabulary.rs
@@ -120,6 +120,7 @@
     MachineKey(hash.finish())
 }
 
+/// The settings object, with the platform's names: `grades` are the classes, `areas` the zones.
 #[derive(Deserialize)]
 struct Boot {
     areas: Vec<String>,
@@ -145,6 +146,7 @@
     1.0
 }
 
+/// Settings of the kind of platform; arrays are by class, or by kind of machine.
 #[derive(Deserialize)]
 struct Family {
     apart_by: Vec<String>,
