--- a/src/placer/rules.rs
+++ b/src/placer/rules.rs
@@ -146,13 +146,14 @@
     }
 
     fn requested_load(&self) -> Option<f64> {
-        self.view.map(|asked| asked.share_of(self.size))
+        self.view.map(|requested| requested.share_of(self.size))
     }
 
     /// Whether the task fits. A view that shows less than own tasks ask for is wrong, and is raised to that.
     fn fits(&self, task: &Task) -> bool {
-        let asked = (self.view.unwrap_or_default() + self.counter_room).at_least(self.own_room) + task.room;
-        asked.within(self.limit)
+        let requested =
+            (self.view.unwrap_or_default() + self.counter_room).at_least(self.own_room) + task.room;
+        requested.within(self.limit)
     }
 
     fn record_change(&mut self, at: Seconds, request: RequestId, room: Room) {
@@ -179,13 +180,13 @@
 
     /// Takes in a view of the free room, dated by its source's estimated delay, unless a newer one is held.
     fn apply_view(&mut self, now: Seconds, free: Room, delay: &mut DelayEstimator, source: usize) {
-        let asked = self.size - free;
+        let requested = self.size - free;
         if delay.learning {
-            self.learn_delay(now, asked.share_of(self.size), delay, source);
+            self.learn_delay(now, requested.share_of(self.size), delay, source);
         }
         let taken_at = now - delay.steps as f64 * DELAY_STEP_S;
         if self.viewed_at <= taken_at {
-            (self.view, self.viewed_at) = (Some(asked), taken_at);
+            (self.view, self.viewed_at) = (Some(requested), taken_at);
         }
         self.refresh_counter(now);
     }
@@ -767,8 +768,8 @@
 
     fn score(&self, now: Seconds, task: &Task, id: MachineId, machine: &Machine, average: f64) -> Candidate {
         // Use may exceed the requested room: busy cores, tight memory and poor service raise the load.
-        let asked = machine.requested_load().unwrap_or(average);
-        let load = asked.max(machine.used_share.within(USE_MAX_AGE_S, now))
+        let requested = machine.requested_load().unwrap_or(average);
+        let load = requested.max(machine.used_share.within(USE_MAX_AGE_S, now))
             + machine.starved_share.within(USE_MAX_AGE_S, now);
         let increment = machine.increment(task.room);
         let starts = START_LOAD * machine.start_work(task.service, now) + BACKLOG_LOAD * machine.backlog;
--- a/src/state/alarms.rs
+++ b/src/state/alarms.rs
@@ -13,11 +13,11 @@
     CancelUnconfirmed(RequestId, AttemptNo),
     /// An attempt must not be sent later than this.
     QueueTimeout(RequestId, AttemptNo),
-    /// The job must have its final answer.
+    /// The job must have its final answer by now.
     ForceAnswer(RequestId),
-    /// All jobs must be answered before the shutdown.
+    /// All pending jobs must be answered by now, because the planner shuts down.
     ShutDown,
-    /// The machine of a reported task must be listed.
+    /// The machine of a task that its owner reported must be listed by now.
     UnlistedTimeout(RequestId),
     /// The time for which a finished job is kept is up.
     ForgetJob(RequestId),
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -89,7 +89,7 @@
             attempt,
             machine,
             location,
-            at: now,
+            decided_at: now,
             sent,
             fence,
             cancel_fence,
@@ -129,7 +129,7 @@
         job.may_have_run(&open_attempt);
         job.past = Vec::new();
         let (owner, service) = (job.owner, job.task.service);
-        self.groups.starts.learn(now, service, now - open_attempt.at);
+        self.groups.starts.learn(now, service, now - open_attempt.decided_at);
         self.release_pending(now, id);
         self.drop_description(id);
         if self.nodes.add_running(at, id) == RunningAdded::First {
@@ -137,8 +137,11 @@
         }
         effects.push(Effect::Placed { owner, job: id, body });
         self.changed(id, ChangeKind::Modified, effects);
-        let event =
-            Event::Bound { request: id, attempt: open_attempt.attempt, took_s: now - open_attempt.at };
+        let event = Event::Bound {
+            request: id,
+            attempt: open_attempt.attempt,
+            took_s: now - open_attempt.decided_at,
+        };
         self.feed_placer(now, event, effects);
     }
 
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -23,7 +23,7 @@
     pub(super) fn may_have_run(&mut self, open_attempt: &OpenAttempt) {
         if self.may_have_run_since.is_none() {
             (self.may_have_run_since, self.may_have_run_location) =
-                (Some(open_attempt.at), Some(open_attempt.location));
+                (Some(open_attempt.decided_at), Some(open_attempt.location));
         }
         self.own_attempt_may_have_run = true;
     }
@@ -76,7 +76,7 @@
     pub machine: MachineId,
     pub location: Location,
     /// The time at which the attempt was decided.
-    pub at: Seconds,
+    pub decided_at: Seconds,
     /// Whether the attempt was sent, and not only queued.
     pub sent: bool,
     /// The connection check sent before this attempt, because an earlier attempt was sent to the same
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -51,7 +51,7 @@
 #[derive(Default)]
 struct LinkJobs {
     jobs: BTreeSet<RequestId>,
-    /// Count. The pending ones of these jobs.
+    /// Number of pending jobs among them.
     open: usize,
 }
 
--- a/src/vocabulary.rs
+++ b/src/vocabulary.rs
@@ -213,7 +213,7 @@
         "cell" => Some(Place::Cell),
         "zone" => Some(Place::Zone),
         "all" => Some(Place::All),
-        other => return Err(format!("unknown place {other:?}")),
+        other => return Err(format!("unknown place {other:?}: use machine, cell, zone, all or silent")),
     })
 }
 
@@ -287,7 +287,7 @@
                 group: parse_place(&grade.group)?.unwrap_or(Place::All),
                 window_s: grade.repeat_window_s,
             },
-            other => return Err(format!("unknown idempotency {other:?}")),
+            other => return Err(format!("unknown idempotency {other:?}: use repeatable, once or by_key")),
         },
         deadline_s: grade.deadline_s,
         on_time_s: grade.on_time_s,
