--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -229,9 +229,9 @@
             // certainly ended, and after the window a request counts as a new placement, as on the platform.
             let before = before.filter(|j| j.machine.is_none());
             may_have_run_location = before.and_then(|j| j.may_have_run_location);
-            let risky = before.and_then(|j| j.may_have_run_since);
+            let since = before.and_then(|j| j.may_have_run_since);
             may_have_run_since =
-                risky.filter(|&since| match self.settings.classes[submission.task.class].idempotency {
+                since.filter(|&since| match self.settings.classes[submission.task.class].idempotency {
                     Idempotency::Keyed { window_s, .. } => now < since + window_s,
                     _ => true,
                 });
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -487,9 +487,9 @@
             let entry = notice(&spots[n as usize]);
             bench.core.update_machine(&entry, &mut effects);
             bench.core.start_attempt(bench.now, RequestId(1), MachineId(n), bench.now + 1.0, &mut effects);
-            let out = launched(&effects).is_some();
-            assert_eq!(out, allowed, "group {group}, machine {n}");
-            if out {
+            let launched_there = launched(&effects).is_some();
+            assert_eq!(launched_there, allowed, "group {group}, machine {n}");
+            if launched_there {
                 bench.core.end_attempt(
                     bench.now,
                     RequestId(1),
