--- a/src/placer/rules.rs
+++ b/src/placer/rules.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Mean pause before the next attempt after a refusal as full: the paper's value; half of it changed nothing.
+/// Mean pause before the next attempt after a refusal as full: the value of the paper on this algorithm.
 const PAUSE_MEAN_S: Seconds = 0.1;
 /// Share of the mean by which a pause is randomly shorter or longer, so that placers do not retry in step.
 const PAUSE_SPREAD: f64 = 0.8;
@@ -54,7 +54,7 @@
 const USE_MAX_AGE_S: Seconds = 3.0;
 /// Interval between probes of a machine where only probes bring load reports.
 const PROBE_INTERVAL_S: Seconds = 1.0;
-/// Number of probes for fresh reports that each task pays for, as probes have a price.
+/// Number of probes for fresh load reports that each submitted task allows, as probes have a price.
 const PROBES_PER_TASK: f64 = 0.3;
 /// Shortest interval between checks for due probes and list calls; longest between passes over the queue.
 const CHECK_INTERVAL_S: Seconds = 0.05;
@@ -146,13 +146,14 @@
     }
 
     fn requested_load(&self) -> Option<f64> {
-        self.view.map(|asked| asked.share_of(self.size))
+        self.view.map(|requested| requested.share_of(self.size))
     }
 
     /// Whether the task fits. A view that shows less than own tasks ask for is wrong, and is raised to that.
     fn fits(&self, task: &Task) -> bool {
-        let asked = (self.view.unwrap_or_default() + self.counter_room).at_least(self.own_room) + task.room;
-        asked.within(self.limit)
+        let requested =
+            (self.view.unwrap_or_default() + self.counter_room).at_least(self.own_room) + task.room;
+        requested.within(self.limit)
     }
 
     fn record_change(&mut self, at: Seconds, request: RequestId, room: Room) {
@@ -179,13 +180,13 @@
 
     /// Takes in a view of the free room, dated by its source's estimated delay, unless a newer one is held.
     fn apply_view(&mut self, now: Seconds, free: Room, delay: &mut DelayEstimator, source: usize) {
-        let asked = self.size - free;
+        let requested = self.size - free;
         if delay.learning {
-            self.learn_delay(now, asked.share_of(self.size), delay, source);
+            self.learn_delay(now, requested.share_of(self.size), delay, source);
         }
         let taken_at = now - delay.steps as f64 * DELAY_STEP_S;
         if self.viewed_at <= taken_at {
-            (self.view, self.viewed_at) = (Some(asked), taken_at);
+            (self.view, self.viewed_at) = (Some(requested), taken_at);
         }
         self.refresh_counter(now);
     }
@@ -767,8 +768,8 @@
 
     fn score(&self, now: Seconds, task: &Task, id: MachineId, machine: &Machine, average: f64) -> Candidate {
         // Use may exceed the requested room: busy cores, tight memory and poor service raise the load.
-        let asked = machine.requested_load().unwrap_or(average);
-        let load = asked.max(machine.used_share.within(USE_MAX_AGE_S, now))
+        let requested = machine.requested_load().unwrap_or(average);
+        let load = requested.max(machine.used_share.within(USE_MAX_AGE_S, now))
             + machine.starved_share.within(USE_MAX_AGE_S, now);
         let increment = machine.increment(task.room);
         let starts = START_LOAD * machine.start_work(task.service, now) + BACKLOG_LOAD * machine.backlog;
@@ -869,7 +870,7 @@
         machine.recent_offers.push_back(now);
         let from = now - self.settings.cold_window_s * COLD_WINDOWS;
         machine.recent_offers.retain(|&sent_at| sent_at > from);
-        // One task at a time tests a suspect machine: the back-off runs on until this attempt is given up.
+        // One task at a time tests a suspect machine: the back-off lasts until this attempt times out.
         if machine.outage.failures > 0 {
             machine.outage.until = give_up_at;
         }
--- a/src/vocabulary.rs
+++ b/src/vocabulary.rs
@@ -120,6 +120,7 @@
     MachineKey(hash.finish())
 }
 
+/// The settings object, with the platform's names: `grades` are the classes, `areas` the zones.
 #[derive(Deserialize)]
 struct Boot {
     areas: Vec<String>,
@@ -145,6 +146,7 @@
     1.0
 }
 
+/// Settings of the kind of platform; arrays are by class, or by kind of machine.
 #[derive(Deserialize)]
 struct Family {
     apart_by: Vec<String>,
@@ -211,7 +213,7 @@
         "cell" => Some(Place::Cell),
         "zone" => Some(Place::Zone),
         "all" => Some(Place::All),
-        other => return Err(format!("unknown place {other:?}")),
+        other => return Err(format!("unknown place {other:?}: use machine, cell, zone, all or silent")),
     })
 }
 
@@ -285,7 +287,7 @@
                 group: parse_place(&grade.group)?.unwrap_or(Place::All),
                 window_s: grade.repeat_window_s,
             },
-            other => return Err(format!("unknown idempotency {other:?}")),
+            other => return Err(format!("unknown idempotency {other:?}: use repeatable, once or by_key")),
         },
         deadline_s: grade.deadline_s,
         on_time_s: grade.on_time_s,
