--- a/src/decide/budgets/ledger.rs
+++ b/src/decide/budgets/ledger.rs
@@ -24,7 +24,7 @@
     InFlight,
     /// Jobs admitted over time.
     Rate,
-    /// Retries that are allowed beyond the share that first tries earn.
+    /// Retries that are allowed in addition to those that first attempts earn.
     RetryFloor,
 }
 
@@ -124,7 +124,7 @@
     estimated_at: Micros,
     /// When the operators' file dropped the budget; it is kept until all its loans have expired.
     removed_at: Option<Micros>,
-    /// The difference to another planner's file has been logged.
+    /// A lower total in another planner's operators file has been logged.
     mismatch_logged: bool,
 }
 
@@ -180,7 +180,7 @@
         BudgetLedger { fleet, accounts: BTreeMap::new(), started: now, number: 0, lines: Vec::new() }
     }
 
-    /// The slots held and the planners heard.
+    /// The slots that this planner holds, and the planners heard from recently.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
@@ -189,7 +189,7 @@
     /// expired.
     pub fn set(&mut self, now: Micros, specs: impl IntoIterator<Item = BudgetSpec>) {
         let mut all: BTreeMap<BudgetId, BudgetSpec> =
-            specs.into_iter().map(|w| (w.kind.id(&w.place), w)).collect();
+            specs.into_iter().map(|spec| (spec.kind.id(&spec.place), spec)).collect();
         for (id, account) in &mut self.accounts {
             match all.remove(id) {
                 Some(spec) => {
@@ -225,7 +225,6 @@
 
     /// Takes one unit for at most `lasting` microseconds; `None` where there is no such budget.
     ///
-    ///
     /// # Errors
     /// No unit is available for that long; the value is the number of microseconds after which to try again.
     pub fn take(&mut self, now: Micros, id: BudgetId, lasting: Micros) -> Result<Option<Use>, Micros> {
@@ -271,8 +270,8 @@
         }
     }
 
-    /// Units of this planner's own base that are never lent; 0 in the grace period after a start, in which an
-    /// earlier incarnation's uses may last.
+    /// This planner's whole base of a budget that is never lent (a retry floor); 0 in the grace period after a
+    /// start, in which uses of an earlier incarnation may not have ended.
     pub fn floor(&self, now: Micros, id: BudgetId) -> u64 {
         let Some(account) = self.accounts.get(&id) else { return 0 };
         let (me, members) = self.fleet.place();
@@ -287,11 +286,11 @@
         &mut self,
         now: Micros,
         (from, life): (Member, Incarnation),
-        word: PeerMessage,
+        message: PeerMessage,
         out: &mut Vec<(Member, PeerMessage)>,
     ) {
         self.fleet.record_heard(now, from, life);
-        match word {
+        match message {
             PeerMessage::Claim(claim) => {
                 out.extend(
                     self.fleet.on_claim(now, (from, life), claim).map(|vote| (from, PeerMessage::Vote(vote))),
@@ -324,9 +323,9 @@
         let claims = self.fleet.tick(now);
         out.extend(claim_messages(claims));
         let terms = self.fleet.terms();
-        let lapse = terms.lender_term();
+        let loan_term = terms.lender_term();
         self.accounts.retain(|_, account| {
-            account.removed_at.is_none_or(|at| now < at + lapse + terms.lender_span(account.spec.hold))
+            account.removed_at.is_none_or(|at| now < at + loan_term + terms.lender_span(account.spec.hold))
         });
         for (&id, account) in &mut self.accounts {
             account.remove_expired(now);
--- a/src/decide/budgets/model.rs
+++ b/src/decide/budgets/model.rs
@@ -27,7 +27,7 @@
     now: u64,
     shares: Vec<Share>,
     slot_leases: Vec<SlotLeases>,
-    lives: Vec<Incarnation>,
+    incarnations: Vec<Incarnation>,
     /// Messages in transit; a delivered one may be delivered again.
     net: BTreeSet<(Member, Member, Message)>,
     crashes: u8,
@@ -106,12 +106,12 @@
         };
         let shares = (0..self.members).map(share).collect();
         let slot_leases = (0..self.members).map(|_| initial_leases(began)).collect();
-        let lives = (0..self.members).map(|me| u64::from(me) + 1).collect();
+        let incarnations = (0..self.members).map(|me| u64::from(me) + 1).collect();
         vec![State {
             now: 0,
             shares,
             slot_leases,
-            lives,
+            incarnations,
             net: BTreeSet::new(),
             crashes: 0,
             demand_changes: 0,
@@ -166,9 +166,9 @@
             }
             Step::Crash(of) => {
                 let clock = state.clock(of);
-                state.lives[of] += 10;
+                state.incarnations[of] += 10;
                 let need = state.shares[of].demand();
-                state.shares[of] = self.share(of as Member, state.lives[of], clock);
+                state.shares[of] = self.share(of as Member, state.incarnations[of], clock);
                 state.shares[of].set_need(need, 0, 0);
                 state.slot_leases[of] = initial_leases(clock);
                 state.crashes += 1;
@@ -185,26 +185,26 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no more than the whole", |world: &World, state: &State| {
+            Property::always("the units in use never exceed the total", |world: &World, state: &State| {
                 state.sum() <= world.total
             }),
             Property::sometimes("a planner has more than its base", |world: &World, state: &State| {
                 let first = &state.shares[0];
                 first.usable(&state.slot_leases[0], state.clock(0)) > base(world.total, world.members, 0, 0)
             }),
-            Property::sometimes("a loan lapses", |_, state: &State| {
-                let lapsed = |b: &Borrowed| b.loan.expiry() > 0 && b.loan.units_at(state.clock(0)) == 0;
-                state.shares[0].borrowed.values().any(lapsed)
+            Property::sometimes("a loan expires", |_, state: &State| {
+                let expired = |b: &Borrowed| b.loan.expiry() > 0 && b.loan.units_at(state.clock(0)) == 0;
+                state.shares[0].borrowed.values().any(expired)
             }),
         ]
     }
 }
 
-fn check(world: World, depth: usize, least: usize) {
+fn check(world: World, depth: usize, min_states: usize) {
     let checker = world.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
-    assert!(checker.unique_state_count() > least, "{} states", checker.unique_state_count());
+    assert!(checker.unique_state_count() > min_states, "{} states", checker.unique_state_count());
 }
 
 #[test]
--- a/src/decide/budgets/tests.rs
+++ b/src/decide/budgets/tests.rs
@@ -109,12 +109,12 @@
     assert_eq!(lender.usable(&leases, later), 0, "its own lower total applies at once");
 }
 
-fn books(total: u64, hold: Micros, kind: Kind) -> (BudgetLedger, BudgetId) {
+fn ledger(total: u64, hold: Micros, kind: Kind) -> (BudgetLedger, BudgetId) {
     let plan = Plan { place: (0, 2), voters: vec![], terms: TERMS };
-    let mut books = BudgetLedger::new(&plan, 5, 0);
+    let mut ledger = BudgetLedger::new(&plan, 5, 0);
     let place: Arc<str> = "default".into();
-    books.set(0, [BudgetSpec { place: place.clone(), kind, total, hold }]);
-    (books, kind.id(&place))
+    ledger.set(0, [BudgetSpec { place: place.clone(), kind, total, hold }]);
+    (ledger, kind.id(&place))
 }
 
 /// Each unit of a rate becomes free after its hold time and no sooner, even if it is given back, and none is
@@ -122,46 +122,46 @@
 #[test]
 fn a_unit_of_a_rate_comes_back_with_time_alone() {
     let hold = 3_000 * MS;
-    let (mut books, id) = books(4, hold, Kind::Rate);
+    let (mut ledger, id) = ledger(4, hold, Kind::Rate);
     let grace = TERMS.lender_span(hold);
-    assert!(books.take(grace - 1, id, 0).is_err(), "uses of an earlier incarnation may not have ended");
-    let first = books.take(grace, id, 0).expect("a unit").expect("a use");
-    books.take(grace + 10, id, 0).expect("the second of its base");
-    assert!(books.take(grace + 20, id, 0).is_err());
-    books.give_back(grace + 30, first);
-    assert!(books.take(grace + hold, id, 0).is_err(), "its hold time has not passed by every clock");
-    books.take(grace + TERMS.lender_span(hold), id, 0).expect("the first unit is free again");
-    assert!(books.take(grace + TERMS.lender_span(hold), id, 0).is_err(), "the second is not");
+    assert!(ledger.take(grace - 1, id, 0).is_err(), "uses of an earlier incarnation may not have ended");
+    let first = ledger.take(grace, id, 0).expect("a unit").expect("a use");
+    ledger.take(grace + 10, id, 0).expect("the second of its base");
+    assert!(ledger.take(grace + 20, id, 0).is_err());
+    ledger.give_back(grace + 30, first);
+    assert!(ledger.take(grace + hold, id, 0).is_err(), "its hold time has not passed by every clock");
+    ledger.take(grace + TERMS.lender_span(hold), id, 0).expect("the first unit is free again");
+    assert!(ledger.take(grace + TERMS.lender_span(hold), id, 0).is_err(), "the second is not");
 }
 
 /// A unit of jobs in flight becomes free with the answer, or at the deadline if no answer was reported.
 #[test]
 fn a_place_in_flight_comes_back_with_the_answer() {
-    let (mut books, id) = books(2, 0, Kind::InFlight);
+    let (mut ledger, id) = ledger(2, 0, Kind::InFlight);
     let now = 10 * TERMS.lease;
-    let first = books.take(now, id, 300 * MS).expect("a unit").expect("a use");
-    assert!(books.take(now, id, 300 * MS).is_err());
-    books.give_back(now + MS, first);
-    books.give_back(now + MS, first);
-    books.take(now + MS, id, 300 * MS).expect("one unit is free again");
-    assert!(books.take(now + 2 * MS, id, 300 * MS).is_err());
-    books.take(now + 302 * MS, id, 300 * MS).expect("its deadline has passed");
+    let first = ledger.take(now, id, 300 * MS).expect("a unit").expect("a use");
+    assert!(ledger.take(now, id, 300 * MS).is_err());
+    ledger.give_back(now + MS, first);
+    ledger.give_back(now + MS, first);
+    ledger.take(now + MS, id, 300 * MS).expect("one unit is free again");
+    assert!(ledger.take(now + 2 * MS, id, 300 * MS).is_err());
+    ledger.take(now + 302 * MS, id, 300 * MS).expect("its deadline has passed");
 }
 
 /// A budget that a new file drops keeps the record of its loans until they expire, even if another file
 /// restores the budget.
 #[test]
 fn a_dropped_budget_remembers_what_it_lent() {
-    let (mut books, id) = books(2, 0, Kind::InFlight);
+    let (mut ledger, id) = ledger(2, 0, Kind::InFlight);
     let now = 10 * TERMS.lease;
     let ask = Ask { life: 9, number: 1, wants: 1, holds: 0, total: 2, hold: 0 };
     let mut out = Vec::new();
-    books.hear(now, (1, 9), PeerMessage::Ask(id, ask), &mut out);
+    ledger.hear(now, (1, 9), PeerMessage::Ask(id, ask), &mut out);
     assert!(matches!(out[..], [(1, PeerMessage::Grant(_, Grant { units: 1, .. }))]), "{out:?}");
-    books.set(now + MS, []);
-    books.tick(now + 2 * MS, &mut out);
-    books
+    ledger.set(now + MS, []);
+    ledger.tick(now + 2 * MS, &mut out);
+    ledger
         .set(now + 3 * MS, [BudgetSpec { place: "default".into(), kind: Kind::InFlight, total: 2, hold: 0 }]);
-    assert!(books.take(now + 4 * MS, id, MS).is_err(), "its unit is still on loan");
-    books.take(now + TERMS.lender_term(), id, MS).expect("the loan has ended");
+    assert!(ledger.take(now + 4 * MS, id, MS).is_err(), "its unit is still on loan");
+    ledger.take(now + TERMS.lender_term(), id, MS).expect("the loan has ended");
 }
--- a/src/decide/fleet/mod.rs
+++ b/src/decide/fleet/mod.rs
@@ -38,7 +38,7 @@
 pub type Incarnation = u64;
 
 /// The most planners that a fleet may have.
-pub const MOST_MEMBERS: usize = 1024;
+pub const MAX_MEMBERS: usize = 1024;
 /// The most unanswered claims that are kept for a slot; votes for older ones are ignored.
 const MAX_PENDING_CLAIMS: usize = 16;
 /// How often each held slot is claimed anew within one lease.
@@ -168,8 +168,8 @@
     next_claim_at: Micros,
     leaving: bool,
     slot_leases: SlotLeases,
-    /// Each other planner's incarnation, and when it was last heard.
-    heard: BTreeMap<Member, (Incarnation, Micros)>,
+    /// Each other planner's incarnation, and when a message from it last arrived.
+    last_heard: BTreeMap<Member, (Incarnation, Micros)>,
 }
 
 impl Fleet {
@@ -182,7 +182,7 @@
         terms: Terms,
         now: Micros,
     ) -> Fleet {
-        debug_assert!(me < members && usize::from(members) <= MOST_MEMBERS);
+        debug_assert!(me < members && usize::from(members) <= MAX_MEMBERS);
         debug_assert!(voters.iter().all(|v| *v < members));
         let voter = voters.contains(&me).then(|| Voter::new(members, terms, now));
         let slot_leases = SlotLeases { grace_until: now + terms.lender_term(), slots: Vec::new() };
@@ -198,7 +198,7 @@
             next_claim_at: now,
             leaving: false,
             slot_leases,
-            heard: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
         }
     }
 
@@ -236,15 +236,15 @@
         self.leaving
     }
 
-    /// Number of other planners heard within two leases.
+    /// The number of other planners from which a message arrived within two leases.
     pub fn here(&self, now: Micros) -> usize {
-        self.heard.values().filter(|(_, at)| now < *at + 2 * self.terms.lease).count()
+        self.last_heard.values().filter(|(_, at)| now < *at + 2 * self.terms.lease).count()
     }
 
     /// Records that a message from a planner arrived.
     pub fn record_heard(&mut self, now: Micros, from: Member, life: Incarnation) {
         if from < self.members && from != self.me {
-            self.heard.insert(from, (life, now));
+            self.last_heard.insert(from, (life, now));
         }
     }
 
@@ -308,11 +308,11 @@
             return claims;
         }
         let (voters, lease, me) = (self.voters.len(), self.terms.lease, self.me);
-        // Gives up slots that expired while they waited to be given back. A claim on another planner's slot
+        // Gives up slots that have expired while waiting to be given back. A claim on another planner's slot
         // that found no majority within half a lease is given up, too, so that others can claim the slot.
         let expired = |(&slot, slot_claim): (&Member, &SlotClaim)| {
-            let lapsed = slot_claim.held_until(voters) <= now;
-            (lapsed && (slot_claim.giving_back || (slot != me && now >= slot_claim.since + lease / 2)))
+            let has_expired = slot_claim.held_until(voters) <= now;
+            (has_expired && (slot_claim.giving_back || (slot != me && now >= slot_claim.since + lease / 2)))
                 .then_some(slot)
         };
         let expired: Vec<Member> = self.slot_claims.iter().filter_map(expired).collect();
--- a/src/decide/fleet/model.rs
+++ b/src/decide/fleet/model.rs
@@ -172,26 +172,26 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no slot is held twice", |_, state: &State| {
+            Property::always("no slot is held by two planners", |_, state: &State| {
                 (0..3).all(|slot| state.holders(slot) <= 1)
             }),
-            Property::sometimes("another holds a planner's slot", |_, state: &State| {
+            Property::sometimes("a caretaker holds another planner's slot", |_, state: &State| {
                 let slots = |of: usize| &state.planners[of].slot_leases().slots;
                 (0..3).any(|of| {
                     let clock = state.clock(of);
                     slots(of).iter().any(|(slot, until)| usize::from(*slot) != of && clock < *until)
                 })
             }),
-            Property::sometimes("a slot lapses", |_, state: &State| state.holders(0) == 0 && state.now > 0),
+            Property::sometimes("a slot expires", |_, state: &State| state.holders(0) == 0 && state.now > 0),
         ]
     }
 }
 
-fn check(world: World, depth: usize, least: usize) {
+fn check(world: World, depth: usize, min_states: usize) {
     let checker = world.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
-    assert!(checker.unique_state_count() > least, "{} states", checker.unique_state_count());
+    assert!(checker.unique_state_count() > min_states, "{} states", checker.unique_state_count());
 }
 
 /// The planner that takes over the slot of planner 0 if all others are present.
--- a/src/decide/fleet/settings.rs
+++ b/src/decide/fleet/settings.rs
@@ -1,7 +1,7 @@
 //! The section `fleet` of the operators' file: the planners, the voters among them, and the parameters of the
 //! leases.
 
-use super::{stable_hash, Member, Terms, MOST_MEMBERS};
+use super::{stable_hash, Member, Terms, MAX_MEMBERS};
 use crate::decide::budgets::Plan;
 use crate::document::{Item, Section};
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
 const RATE_ERROR_PPM: (f64, f64) = (100_000.0, 10_000.0);
 /// The most planners that vote. More voters make each slot more expensive to hold and hardly safer.
 const MAX_VOTERS: usize = 9;
-/// Length of a name in bytes.
+/// Bytes. The longest name of a fleet or a planner.
 const MAX_NAME_BYTES: usize = 64;
 /// Divisor of the lease that gives the interval between asks, and the bounds of that interval in
 /// microseconds.
@@ -73,7 +73,7 @@
     let listen = section.need("listen").and_then(|i| address(&i));
     let planners = section.need("planners").and_then(|i| planners(&i)).unwrap_or_default();
     let names: Vec<&str> = planners.iter().map(|(name, _)| name.as_str()).collect();
-    let place = |item: &Item<'_>| {
+    let member = |item: &Item<'_>| {
         let text = item.text()?;
         let at = names.iter().position(|known| *known == text);
         if at.is_none() {
@@ -81,19 +81,19 @@
         }
         at.map(|at| at as Member)
     };
-    let own = section.need("own").and_then(|i| place(&i));
-    let voters = voters(&section, place);
+    let own = section.need("own").and_then(|i| member(&i));
+    let voters = voters(&section, member);
     let lease = section
         .get("leaseMs")
         .map_or(Some(LEASE_RANGE_MS.2), |i| i.within(LEASE_RANGE_MS.0..=LEASE_RANGE_MS.1, " ms"));
     let floor = section.get("floorShare").map_or(Some(DEFAULT_FLOOR_SHARE), |i| i.within(0.0..=1.0, ""));
-    let error =
+    let rate_error =
         section.get("clockErrorPpm").map_or(Some(RATE_ERROR_PPM.1), |i| i.within(0.0..=RATE_ERROR_PPM.0, ""));
     section.close(|_| None);
     let lease = (lease? * 1e3) as u64;
     let terms = Terms {
         lease,
-        rate_error_ppm: error? as u64,
+        rate_error_ppm: rate_error? as u64,
         ask_every: (lease / ASK_INTERVAL.0).clamp(ASK_INTERVAL.1, ASK_INTERVAL.2),
         floor_permille: (floor? * 1000.0).round() as u64,
     };
@@ -104,8 +104,8 @@
 
 fn planners(item: &Item<'_>) -> Option<Vec<(String, SocketAddr)>> {
     let list = item.list()?;
-    if list.is_empty() || list.len() > MOST_MEMBERS {
-        item.fault(format!("has {} planners; 1 to {MOST_MEMBERS} are allowed", list.len()));
+    if list.is_empty() || list.len() > MAX_MEMBERS {
+        item.fault(format!("has {} planners; 1 to {MAX_MEMBERS} are allowed", list.len()));
         return None;
     }
     let (mut all, mut names, mut addresses) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
@@ -126,10 +126,10 @@
     Some(all)
 }
 
-fn voters(section: &Section<'_>, place: impl Fn(&Item<'_>) -> Option<Member>) -> Vec<Member> {
+fn voters(section: &Section<'_>, member: impl Fn(&Item<'_>) -> Option<Member>) -> Vec<Member> {
     let Some(item) = section.get("voters") else { return Vec::new() };
     let Some(list) = item.list() else { return Vec::new() };
-    let mut voters: Vec<Member> = list.iter().filter_map(place).collect();
+    let mut voters: Vec<Member> = list.iter().filter_map(member).collect();
     voters.sort_unstable();
     let count = voters.len();
     voters.dedup();
--- a/src/decide/groups/fit.rs
+++ b/src/decide/groups/fit.rs
@@ -70,8 +70,9 @@
         return Err(DoesNotFit::Ever);
     }
     let sum = |rooms: &mut dyn Iterator<Item = Room>| rooms.fold(Room::default(), |all, room| all + room);
-    let (asked, whole) = (sum(&mut needs.iter().map(|n| n.room)), sum(&mut spaces.iter().map(|s| s.limit)));
-    if asked.share_of(whole) > share {
+    let (requested, total) =
+        (sum(&mut needs.iter().map(|n| n.room)), sum(&mut spaces.iter().map(|s| s.limit)));
+    if requested.share_of(total) > share {
         return Err(DoesNotFit::Share);
     }
     if fits(needs, spaces, reserved) {
@@ -85,10 +86,11 @@
 /// free room.
 pub fn retry_after(needs: &[Need], spaces: &[Space], ends_per_s: f64, mean_room: Room) -> Seconds {
     let sum = |rooms: &mut dyn Iterator<Item = Room>| rooms.fold(Room::default(), |all, room| all + room);
-    let (asked, left) = (sum(&mut needs.iter().map(|n| n.room)), sum(&mut spaces.iter().map(|s| s.left)));
-    let short = |asked: f64, left: f64, mean: f64| (asked - left).max(asked * 0.1) / mean.max(1e-6);
-    let tasks = short(asked.cores, left.cores, mean_room.cores).max(short(
-        asked.memory,
+    let (requested, left) = (sum(&mut needs.iter().map(|n| n.room)), sum(&mut spaces.iter().map(|s| s.left)));
+    let short =
+        |requested: f64, left: f64, mean: f64| (requested - left).max(requested * 0.1) / mean.max(1e-6);
+    let tasks = short(requested.cores, left.cores, mean_room.cores).max(short(
+        requested.memory,
         left.memory,
         mean_room.memory,
     ));
--- a/src/decide/groups/interface.rs
+++ b/src/decide/groups/interface.rs
@@ -5,7 +5,7 @@
 /// Number of a member within its group, from 0.
 pub type MemberNo = usize;
 
-/// What to do if a member is lost after the whole group stood.
+/// What to do if a member is lost after all members stood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OnLoss {
     /// The other members go on.
@@ -59,7 +59,7 @@
     Refused,
     /// A member failed.
     Failed,
-    /// A member was lost before the group stood whole.
+    /// A member was lost before all members stood.
     Lost,
     /// Some, but not all, members stood for too long.
     Partial,
@@ -134,7 +134,7 @@
     },
     /// The owner cancels the group, or ends it once it stands.
     Cancel,
-    /// The planner shuts down: a group that does not stand whole is given up.
+    /// The planner shuts down: a group is given up unless all its members stand.
     Stop,
     /// Time has passed.
     Tick,
--- a/src/decide/groups/mod.rs
+++ b/src/decide/groups/mod.rs
@@ -12,8 +12,9 @@
 //!   (`model`: "placed and refused are true").
 //! - A member is placed again only once it is proved that its earlier copy is gone (`model`: "no member runs
 //!   twice").
-//! - A group stands in part for at most `partial_s`: by then it stands whole, or all its members are cut
-//!   (`model`: "no group stands in part for too long"; `tests::a_partial_group_is_cut_in_time`).
+//! - A group stands in part, that is with some but not all of its members, for at most `partial_s`: by then
+//!   all members stand, or the cuts of all members have been sent (`model`: "no group stands in part for too
+//!   long"; `tests::a_partial_group_is_cut_in_time`).
 //! - The answer waits for machines for at most `cut_wait_s`
 //!   (`tests::an_answer_does_not_wait_for_a_silent_machine`).
 
@@ -30,8 +31,8 @@
 use crate::placer::Seconds;
 pub use interface::{Action, Answer, Event, MemberNo, OnLoss, Phase, Policy, Why};
 
-/// Share of `partial_s` after which a group that stands in part is given up; the rest is left for the cuts to
-/// take effect.
+/// Share of `partial_s` after which a group that stands in part is given up; the rest of that time is left for
+/// the cuts to reach the machines.
 const GIVE_UP_SHARE: f64 = 0.8;
 
 /// The state of a member.
@@ -75,7 +76,7 @@
     readmit_at: Seconds,
     /// A member has finished, which cannot be undone.
     any_finished: bool,
-    /// The time of the next tick that was requested.
+    /// The time of the next requested tick.
     wake_at: Seconds,
 }
 
@@ -162,7 +163,7 @@
         self.of(|m| matches!(m, Member::Waiting(_))).filter(move |_| placing)
     }
 
-    /// Members that were submitted and do not stand yet.
+    /// Members that were submitted and do not run yet.
     pub fn asked(&self) -> impl Iterator<Item = MemberNo> + '_ {
         self.of(|m| matches!(m, Member::Asked))
     }
@@ -348,8 +349,8 @@
     }
 
     fn place(&mut self, now: Seconds, actions: &mut Vec<Action>) {
-        let whole = |m: &Member| matches!(m, Member::Stands | Member::Finished);
-        if self.members.iter().all(whole) {
+        let placed = |m: &Member| matches!(m, Member::Stands | Member::Finished);
+        if self.members.iter().all(placed) {
             self.phase = Phase::Standing;
             self.partial_since = None;
             self.answer(Answer::Placed, actions);
--- a/src/decide/groups/starts.rs
+++ b/src/decide/groups/starts.rs
@@ -1,5 +1,5 @@
-//! How long services take to start, learned from answers: members that start slowly are submitted first. Also
-//! how fast running tasks end.
+//! Learns from the machines' answers how long the tasks of each service take to start, so that group members
+//! that start slowly are submitted first, and how fast running tasks end.
 
 use crate::placer::{Room, Seconds, ServiceId};
 use std::collections::BTreeMap;
--- a/src/decide/groups/tests.rs
+++ b/src/decide/groups/tests.rs
@@ -163,8 +163,8 @@
     }
 }
 
-/// Guards groups when the planner shuts down or the owner cancels: a group that does not stand whole is cut
-/// by both, one that does only by its owner.
+/// Guards groups when the planner shuts down or the owner cancels: a group of which not all members stand is
+/// cut in both cases, one of which all stand only if its owner cancels it.
 #[test]
 fn a_stop_gives_up_what_does_not_stand() {
     let mut rig = Rig::new(policy(), &[0.0, 0.0]);
--- a/src/decide/limits/mod.rs
+++ b/src/decide/limits/mod.rs
@@ -96,7 +96,7 @@
 /// The gauges of one entry.
 #[derive(Debug)]
 struct Gauge {
-    /// The entry's name; `None` once the file in force no longer has the entry.
+    /// The entry's name; `None` once the file in force has no such entry.
     name: Option<Arc<str>>,
     rate: RateGauge,
     flight: FlightGauge,
@@ -158,7 +158,7 @@
         self.books = Some(books);
     }
 
-    /// The planner's books of the fleet's budgets, if it is part of a fleet.
+    /// The planner's ledger of the fleet's budgets, if it is part of a fleet.
     pub fn books(&mut self) -> Option<&mut BudgetLedger> {
         self.books.as_mut()
     }
--- a/src/decide/limits/tests.rs
+++ b/src/decide/limits/tests.rs
@@ -214,8 +214,8 @@
     assert_eq!(storm(&mut limits, 116.0), 1, "the floor alone");
 }
 
-/// Guards against gauges that pile up over many reloads, and against lost counts of a route that a reload
-/// keeps.
+/// Guards against gauges that accumulate over many reloads, and against losing the counts of a route that a
+/// reload keeps.
 #[test]
 fn gauges_outlive_their_file_only_as_needed() {
     let mut limits = limits("{routes: [{name: 'a', match: {}, inFlight: 1}]}");
@@ -392,8 +392,9 @@
     let resolved =
         |limits: &Limits, class, service| limits.resolve(&subject(class, service)).expect("limits");
     let plain = resolved(&limits, 0, "a");
-    let too_early =
-        limits.admit(1.0, &plain, 2.0).expect_err("jobs of a previous run of this planner may be in flight");
+    let too_early = limits
+        .admit(1.0, &plain, 2.0)
+        .expect_err("jobs of an earlier incarnation of this planner may be in flight");
     assert!(too_early.why == Why::InFlight && too_early.retry_in_s > 0.0);
     let two: Vec<Ticket> = (0..2).filter_map(|_| limits.admit(20.0, &plain, 20.9).expect("a slot")).collect();
     let rejection = limits.admit(20.0, &plain, 20.9).expect_err("half of four is two");
--- a/src/decide/links/mod.rs
+++ b/src/decide/links/mod.rs
@@ -4,15 +4,17 @@
 //! Each connection takes a connection slot. When all slots are taken, a machine that needs one waits;
 //! machines with a message to be written go before machines that are only visited. The least recently used
 //! slot whose connection is idle is reclaimed for a waiting machine. A machine that holds tasks but has no
-//! connection is visited every few seconds: it sends the answers that it owes on the next connection that is
-//! opened, and the ends of its tasks must be reported within the protocol's 8 s.
+//! connection is visited every few seconds: a connection is opened for a short time. The machine sends the
+//! answers that it owes on the next connection that is opened, and the ends of its tasks must be reported
+//! within the protocol's 8 s.
 
 use crate::placer::{MachineId, Seconds};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds after its connection was reclaimed at which a machine that holds tasks is visited.
 pub const VISIT_AFTER_S: Seconds = 3.0;
-/// The least duration of a visit, in seconds; the machine sends the answers that it owes at once.
+/// The least duration of a visit, in seconds; the machine sends the answers that it owes as soon as it is
+/// connected.
 pub const MIN_VISIT_S: Seconds = 0.2;
 
 /// Why a connection is needed, in order of priority.
@@ -30,7 +32,7 @@
 struct Held {
     since: Seconds,
     last_used: Seconds,
-    /// Its connection is to be given back.
+    /// Its connection is to be closed, so that another machine gets the slot.
     reclaimed: bool,
 }
 
@@ -52,7 +54,7 @@
         ConnectionSlots { capacity: capacity.max(1), held, waiting, queue, requests: 0 }
     }
 
-    /// Sets the number of slots. Those in excess are given back as other machines request one.
+    /// Sets the number of slots. Those in excess are reclaimed as other machines request one.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity.max(1);
     }
@@ -100,18 +102,21 @@
         }
     }
 
-    /// Selects the connection to be given back now, if any: the least recently used one that is idle. At most
-    /// as many are reclaimed as machines wait.
+    /// Selects the connection to be reclaimed now, if any: the least recently used one that is idle. At most as
+    /// many are being reclaimed as machines wait.
     pub fn give_back(&mut self, now: Seconds, is_idle: impl Fn(MachineId) -> bool) -> Option<MachineId> {
         let reclaimed = self.held.values().filter(|h| h.reclaimed).count();
         if reclaimed >= self.waiting.len() {
             return None;
         }
-        let free = |(&machine, h): &(&MachineId, &Held)| {
+        let reclaimable = |(&machine, h): &(&MachineId, &Held)| {
             !h.reclaimed && now >= h.since + MIN_VISIT_S && is_idle(machine)
         };
-        let (machine, _) =
-            self.held.iter().filter(free).min_by(|(_, a), (_, b)| a.last_used.total_cmp(&b.last_used))?;
+        let (machine, _) = self
+            .held
+            .iter()
+            .filter(reclaimable)
+            .min_by(|(_, a), (_, b)| a.last_used.total_cmp(&b.last_used))?;
         let machine = *machine;
         if let Some(held) = self.held.get_mut(&machine) {
             held.reclaimed = true;
@@ -119,14 +124,14 @@
         Some(machine)
     }
 
-    /// Withdraws the request to give back the slot: the connection is in use again.
+    /// Withdraws the request to reclaim the slot: the connection is in use again.
     pub fn keep(&mut self, machine: MachineId) {
         if let Some(held) = self.held.get_mut(&machine) {
             held.reclaimed = false;
         }
     }
 
-    /// Whether a machine's connection is to be given back.
+    /// Whether a machine's connection is being reclaimed.
     pub fn is_reclaimed(&self, machine: MachineId) -> bool {
         self.held.get(&machine).is_some_and(|h| h.reclaimed)
     }
--- a/src/decide/silence/checks.rs
+++ b/src/decide/silence/checks.rs
@@ -6,13 +6,13 @@
 //!
 //! - A check that finds something runs at the same time as if none were skipped: nothing that is due is found
 //!   later, and nothing is found twice (`what_is_left_out_would_have_found_nothing`).
-//! - A connection with no open attempt or probe, no held tasks and no partial line is not checked
-//!   (`an_idle_connection_is_not_looked_at`).
+//! - A connection with no open probe, no held tasks and no partial line is not checked, unless another machine
+//!   waits for a connection slot (`an_idle_connection_is_not_looked_at`).
 //! - A late check shifts the grid, and missed checks are not made up for (`a_late_look_moves_the_grid`).
 //!
 //! The code that drives a connection plans the next check anew whenever there may be something new to check:
-//! a probe is sent, a partial line arrives, the machine gets its first task, or a first machine waits for a
-//! connection slot.
+//! a probe is sent, a partial line arrives, the machine gets its first task, or a machine begins to wait for a
+//! connection slot while no other waits.
 
 use super::Watch;
 use crate::placer::Seconds;
--- a/src/decide/silence/checks/tests.rs
+++ b/src/decide/silence/checks/tests.rs
@@ -71,7 +71,7 @@
 /// A planner with many idle connections must spend no time on checks of them.
 #[test]
 fn an_idle_connection_is_not_looked_at() {
-    let looks_in = |open: Open| {
+    let checks_in = |open: Open| {
         let (mut checks, watch, mut count) = (CheckSchedule::new(0.125), Watch::new(0.0), 0);
         for tick in 0..64 * 60 {
             let now = f64::from(tick) * TICK_S;
@@ -82,14 +82,14 @@
         }
         count
     };
-    assert_eq!(looks_in(Open::default()), 0, "checks in a minute");
-    assert_eq!(looks_in(Open { is_short: true, ..Open::default() }), 240, "four checks a second");
+    assert_eq!(checks_in(Open::default()), 0, "checks in a minute");
+    assert_eq!(checks_in(Open { is_short: true, ..Open::default() }), 240, "four checks a second");
 }
 
 /// An event on a connection.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Heard { of_task: bool, half_line: bool },
+    Received { of_task: bool, is_partial_line: bool },
     Probe(bool),
     HoldsTasks(bool),
     IsShort(bool),
@@ -111,11 +111,11 @@
 
     fn event(&mut self, now: Seconds, event: Event) {
         match event {
-            Event::Heard { of_task, half_line } => {
+            Event::Received { of_task, is_partial_line } => {
                 self.watch.heard(now, of_task);
-                self.open.partial_line_since = half_line.then_some(now);
+                self.open.partial_line_since = is_partial_line.then_some(now);
             }
-            Event::Probe(out) => self.open.probe_since = out.then_some(now),
+            Event::Probe(is_open) => self.open.probe_since = is_open.then_some(now),
             Event::HoldsTasks(holds) => self.open.holds_tasks = holds,
             Event::IsShort(is_short) => self.open.is_short = is_short,
         }
@@ -169,7 +169,7 @@
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         3 => (any::<bool>(), any::<bool>())
-            .prop_map(|(of_task, half_line)| Event::Heard { of_task, half_line }),
+            .prop_map(|(of_task, is_partial_line)| Event::Received { of_task, is_partial_line }),
         2 => any::<bool>().prop_map(Event::Probe),
         2 => any::<bool>().prop_map(Event::HoldsTasks),
         1 => any::<bool>().prop_map(Event::IsShort),
--- a/src/decide/silence/mod.rs
+++ b/src/decide/silence/mod.rs
@@ -37,7 +37,7 @@
 pub const MANY_SILENT: usize = 8;
 
 /// Whether the tasks at a machine are to be reported lost, given the number of consecutive failed dials, the
-/// time since anything arrived from the machine, and the number of machines, this one included, that no dial
+/// time since the last message from the machine, and the number of machines, this one included, that no dial
 /// reaches now.
 pub fn is_lost(failed_dials: u32, quiet_s: Seconds, silent_now: usize) -> bool {
     failed_dials >= MIN_FAILED_DIALS && (silent_now < MANY_SILENT || quiet_s >= LOST_AFTER_S)
@@ -83,8 +83,8 @@
 pub struct MachineActivity {
     /// When the machine last showed any sign of activity, answered dials included.
     pub last_sign: Seconds,
-    /// When it last reported on a task or accepted a connection; the ends of its tasks were reported until
-    /// then.
+    /// When it last reported on a task or accepted a connection: until then it did report the ends of its
+    /// tasks.
     pub last_task_report: Seconds,
     /// Consecutive failed dials since the last sign of activity.
     pub failed_dials: u32,
@@ -100,7 +100,7 @@
 /// The monitor of one open connection.
 #[derive(Clone, Debug)]
 pub struct Watch {
-    /// When something last arrived on the connection.
+    /// When a message last arrived on the connection.
     last_received: Seconds,
     signs: MachineActivity,
     dial_at: Seconds,
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Records that something arrived on the connection; `of_task` if it reports on a task, and does not
-    /// merely answer a probe.
+    /// Records that a message arrived on the connection; `of_task` if it reports on a task rather than merely
+    /// answers a probe.
     pub fn heard(&mut self, now: Seconds, of_task: bool) {
         let last_task_report = if of_task { now } else { self.signs.last_task_report };
         (self.last_received, self.signs) =
@@ -133,10 +133,10 @@
         self.signs
     }
 
-    /// Returns what is due; `held` if the machine holds tasks. `draw`, from 0 to 1, is this planner's own
+    /// Returns what is due; `holds_tasks` if the machine holds tasks. `draw`, from 0 to 1, is this planner's own
     /// random number: without it, all planners connected to a machine would dial it in step after a fault.
-    pub fn check(&mut self, now: Seconds, held: bool, draw: f64) -> Step {
-        if !held {
+    pub fn check(&mut self, now: Seconds, holds_tasks: bool, draw: f64) -> Step {
+        if !holds_tasks {
             return Step::Wait;
         }
         if self.refused && now - self.signs.last_task_report >= LOST_AFTER_S {
@@ -165,9 +165,9 @@
         dial.min(end)
     }
 
-    /// Processes the result of a dial; `out` if an attempt is open on the connection, which closing it would
-    /// abandon.
-    pub fn dialled(&mut self, now: Seconds, dial: Dial, out: bool) -> Step {
+    /// Processes the result of a dial; `attempt_open` if an attempt is open on the connection, which closing it
+    /// would abandon.
+    pub fn dialled(&mut self, now: Seconds, dial: Dial, attempt_open: bool) -> Step {
         match dial {
             Dial::Short => return Step::Wait,
             Dial::Silent => {
@@ -187,7 +187,7 @@
         self.refused = dial == Dial::Refused;
         if self.refused {
             Step::ProvokeReset
-        } else if out {
+        } else if attempt_open {
             Step::ReadNewToEnd
         } else {
             Step::Swap
--- a/src/decide/silence/tests.rs
+++ b/src/decide/silence/tests.rs
@@ -20,7 +20,7 @@
 /// Runs the checks of one connection to a machine that answers each dial as given, until the connection is
 /// closed or replaced or its tasks are reported lost. Returns the time of that and the steps up to it. With
 /// `answers_probes`, the machine answers a probe every two seconds.
-fn simulate(dial: Dial, out: bool, dial_s: Seconds, answers_probes: bool) -> (Seconds, Vec<Step>) {
+fn simulate(dial: Dial, attempt_open: bool, dial_s: Seconds, answers_probes: bool) -> (Seconds, Vec<Step>) {
     let (mut watch, mut now, mut steps) = (Watch::new(0.0), 0.0, Vec::new());
     while now < 20.0 {
         now += 0.25;
@@ -30,7 +30,7 @@
         let mut step = watch.check(now, true, 1.0);
         if step == Step::Dial {
             now += if dial == Dial::Silent { dial_s } else { 0.0 };
-            step = watch.dialled(now, dial, out);
+            step = watch.dialled(now, dial, attempt_open);
         }
         if step != Step::Wait {
             steps.push(step);
@@ -43,23 +43,23 @@
 }
 
 /// A dial that starts just before the limit, after the longest back-off, and runs into its time-out must
-/// still leave time to answer the owner within the protocol's 8 s. A silent connection is given up before
-/// that, whatever the machine does with dials.
+/// still leave time to answer the owner within the protocol's 8 s. A silent connection is replaced or
+/// closed before that, whatever the results of the dials.
 #[test]
 fn a_lost_task_is_told_in_time() {
-    let (longest, dial, look): (Seconds, Seconds, Seconds) = (1.0, 0.25, 0.25);
-    for out in [false, true] {
+    let (max_backoff, dial, check_interval): (Seconds, Seconds, Seconds) = (1.0, 0.25, 0.25);
+    for attempt_open in [false, true] {
         for kind in [Dial::Up, Dial::Refused, Dial::Silent, Dial::Short] {
-            let (mut at, steps) = simulate(kind, out, dial, false);
-            assert!(at <= LOST_AFTER_S + 2.0 * look, "{kind:?}: {at}");
+            let (mut at, steps) = simulate(kind, attempt_open, dial, false);
+            assert!(at <= LOST_AFTER_S + 2.0 * check_interval, "{kind:?}: {at}");
             if steps.ends_with(&[Step::Swap]) || steps.ends_with(&[Step::Lost]) {
                 continue; // Another connection is up, or the loss is reported.
             }
             // From now on every dial fails, and the back-off doubles.
-            let (mut dials, mut wait) = (if kind == Dial::Silent { MIN_FAILED_DIALS } else { 0 }, 0.05);
+            let (mut dials, mut backoff) = (if kind == Dial::Silent { MIN_FAILED_DIALS } else { 0 }, 0.05);
             while !is_lost(dials, at, usize::MAX) {
-                at += dial + wait;
-                wait = longest.min(2.0 * wait);
+                at += dial + backoff;
+                backoff = max_backoff.min(2.0 * backoff);
                 dials += 1;
             }
             assert!(at <= 8.0, "{kind:?}: reported after {at} s");
@@ -104,7 +104,7 @@
     assert_eq!(simulate(Dial::Silent, false, 0.25, false).1, vec![Step::Close]);
 }
 
-/// Planners that dial a machine must not do so in step.
+/// Planners that dial the same machine must not do so in step.
 #[test]
 fn dials_are_spread_by_each_planners_draw() {
     let second = |draw: f64| {
--- a/src/decide/start_times/mod.rs
+++ b/src/decide/start_times/mod.rs
@@ -48,7 +48,7 @@
 
     /// Returns when a machine started, by this planner's clock; `listed` is the start time in the list, 0 or
     /// less for long ago.
-    pub fn take(&mut self, machine: MachineId, listed: Seconds, heard: NoticeContext) -> Seconds {
+    pub fn take(&mut self, machine: MachineId, listed: Seconds, notice: NoticeContext) -> Seconds {
         if listed <= 0.0 {
             return listed;
         }
@@ -57,7 +57,7 @@
             return known.local;
         }
         let earliest = before.map_or(0.0, |known| known.local + APART_S);
-        let local = self.local_time(listed, heard).max(earliest);
+        let local = self.local_time(listed, notice).max(earliest);
         self.starts.insert(machine, Start { listed, local });
         local
     }
@@ -67,13 +67,13 @@
         self.starts.remove(&machine);
     }
 
-    fn local_time(&self, listed: Seconds, heard: NoticeContext) -> Seconds {
-        let age = heard.now - listed;
-        let is_likely = age >= 0.0 && (!heard.is_live || age <= self.warm_within_s);
-        if is_likely && !heard.has_stepped {
+    fn local_time(&self, listed: Seconds, notice: NoticeContext) -> Seconds {
+        let age = notice.now - listed;
+        let is_likely = age >= 0.0 && (!notice.is_live || age <= self.warm_within_s);
+        if is_likely && !notice.has_stepped {
             listed
         } else {
-            heard.now
+            notice.now
         }
     }
 }
--- a/src/decide/start_times/tests.rs
+++ b/src/decide/start_times/tests.rs
@@ -19,14 +19,14 @@
 /// A cold machine must not be treated as warm because the wall clock stepped.
 #[test]
 fn a_start_after_the_clock_stepped_counts_from_when_it_was_heard() {
-    for (listed, heard) in [
+    for (listed, notice) in [
         (6_399.0, LIVE),                                        // the list's clock is an hour behind
         (13_599.0, LIVE),                                       // the list's clock is an hour ahead
         (13_599.0, NoticeContext { is_live: false, ..LIVE }),   // the same, in a replayed list
         (9_990.0, NoticeContext { has_stepped: true, ..LIVE }), // this planner's clock has stepped
         (9_990.0, NoticeContext { has_stepped: true, is_live: false, ..LIVE }),
     ] {
-        assert_eq!(StartTimes::new(16.0).take(MACHINE, listed, heard), 10_000.0, "{listed} {heard:?}");
+        assert_eq!(StartTimes::new(16.0).take(MACHINE, listed, notice), 10_000.0, "{listed} {notice:?}");
     }
 }
 
