--- a/src/decide/budgets/model.rs
+++ b/src/decide/budgets/model.rs
@@ -36,12 +36,12 @@
 }
 
 impl State {
-    fn clock(&self, of: usize) -> Micros {
-        1_000 + self.now * RATES[of]
+    fn clock(&self, index: usize) -> Micros {
+        1_000 + self.now * RATES[index]
     }
 
     fn sum(&self) -> u64 {
-        let usable = |(of, s): (usize, &Share)| s.usable(&self.slot_leases[of], self.clock(of));
+        let usable = |(index, s): (usize, &Share)| s.usable(&self.slot_leases[index], self.clock(index));
         self.shares.iter().enumerate().map(usable).sum()
     }
 
@@ -145,11 +145,13 @@
         match step {
             Step::Deliver(message, stays) => {
                 let (from, to, content) = message;
-                let (of, clock) = (usize::from(to), state.clock(usize::from(to)));
+                let (index, clock) = (usize::from(to), state.clock(usize::from(to)));
                 let answer = match content {
-                    Message::Ask(ask) => state.shares[of].on_ask(&state.slot_leases[of], clock, from, ask),
+                    Message::Ask(ask) => {
+                        state.shares[index].on_ask(&state.slot_leases[index], clock, from, ask)
+                    }
                     Message::Grant(grant) => {
-                        state.shares[of].on_grant(clock, from, grant);
+                        state.shares[index].on_grant(clock, from, grant);
                         None
                     }
                 };
@@ -159,23 +161,23 @@
                 state.net.extend(answer.map(|answer| (to, from, Message::Grant(answer))));
             }
             Step::Lose(message) => _ = state.net.remove(&message),
-            Step::Ask(of) => {
-                let clock = state.clock(of);
-                let asks = state.shares[of].tick(&state.slot_leases[of], clock);
-                state.net.extend(asks.into_iter().map(|(to, ask)| (of as Member, to, Message::Ask(ask))));
+            Step::Ask(index) => {
+                let clock = state.clock(index);
+                let asks = state.shares[index].tick(&state.slot_leases[index], clock);
+                state.net.extend(asks.into_iter().map(|(to, ask)| (index as Member, to, Message::Ask(ask))));
             }
-            Step::Crash(of) => {
-                let clock = state.clock(of);
-                state.incarnations[of] += 10;
-                let need = state.shares[of].demand();
-                state.shares[of] = self.share(of as Member, state.incarnations[of], clock);
-                state.shares[of].set_need(need, 0, 0);
-                state.slot_leases[of] = initial_leases(clock);
+            Step::Crash(index) => {
+                let clock = state.clock(index);
+                state.incarnations[index] += 10;
+                let need = state.shares[index].demand();
+                state.shares[index] = self.share(index as Member, state.incarnations[index], clock);
+                state.shares[index].set_need(need, 0, 0);
+                state.slot_leases[index] = initial_leases(clock);
                 state.crashes += 1;
             }
-            Step::ToggleDemand(of) => {
-                let need = if state.shares[of].demand() == 0 { ALL } else { 0 };
-                state.shares[of].set_need(need, 0, 0);
+            Step::ToggleDemand(index) => {
+                let need = if state.shares[index].demand() == 0 { ALL } else { 0 };
+                state.shares[index].set_need(need, 0, 0);
                 state.demand_changes += 1;
             }
             Step::Time => state.now += 1,
--- a/src/decide/budgets/share.rs
+++ b/src/decide/budgets/share.rs
@@ -212,8 +212,8 @@
     }
 
     /// A planner's floor, and the units of its base tied to its slot.
-    fn floor_and_slot_units(&self, now: Micros, of: Member) -> (u64, u64) {
-        let base = base(self.total(now), self.members, of, self.salt);
+    fn floor_and_slot_units(&self, now: Micros, member: Member) -> (u64, u64) {
+        let base = base(self.total(now), self.members, member, self.salt);
         let floor = floor(base, self.floor_permille);
         (floor, base - floor)
     }
--- a/src/decide/budgets/tests.rs
+++ b/src/decide/budgets/tests.rs
@@ -54,7 +54,8 @@
     share.set_need(0, 2, check_at + 500 * MS);
     assert_eq!(share.usable(&leases, check_at), 3);
     let asks = share.tick(&leases, check_at);
-    let wants = |of: Member| asks.iter().find(|(to, _)| *to == of).map(|(_, ask)| ask.wants);
+    let wants =
+        |lender_index: Member| asks.iter().find(|(to, _)| *to == lender_index).map(|(_, ask)| ask.wants);
     assert_eq!((wants(0), wants(1)), (Some(2), Some(0)), "{asks:?}");
 }
 
--- a/src/decide/fleet/model.rs
+++ b/src/decide/fleet/model.rs
@@ -30,22 +30,22 @@
 }
 
 impl State {
-    fn clock(&self, of: usize) -> Micros {
-        1_000 + self.now * RATES[of]
+    fn clock(&self, index: usize) -> Micros {
+        1_000 + self.now * RATES[index]
     }
 
     /// The number of planners that hold a slot now.
     fn holders(&self, slot: Member) -> usize {
-        let holds = |(of, p): (usize, &Fleet)| {
-            p.slot_leases().slots.iter().any(|(held, until)| *held == slot && self.clock(of) < *until)
+        let holds = |(index, p): (usize, &Fleet)| {
+            p.slot_leases().slots.iter().any(|(held, until)| *held == slot && self.clock(index) < *until)
         };
-        self.planners.iter().enumerate().filter(|(of, p)| holds((*of, p))).count()
+        self.planners.iter().enumerate().filter(|(index, p)| holds((*index, p))).count()
     }
 
-    fn send(&mut self, of: usize, claims: Vec<(Member, super::Claim)>) {
-        let life = self.planners[of].life;
+    fn send(&mut self, index: usize, claims: Vec<(Member, super::Claim)>) {
+        let life = self.planners[index].life;
         self.net
-            .extend(claims.into_iter().map(|(to, claim)| (of as Member, to, Message::Claim(life, claim))));
+            .extend(claims.into_iter().map(|(to, claim)| (index as Member, to, Message::Claim(life, claim))));
     }
 
     fn deliver(&mut self, envelope: Envelope) {
@@ -53,15 +53,15 @@
     }
 
     fn deliver_at(&mut self, (from, to, content): Envelope, clock: Micros) {
-        let of = usize::from(to);
+        let index = usize::from(to);
         match content {
             Message::Claim(life, claim) => {
-                let vote = self.planners[of].on_claim(clock, (from, life), claim);
+                let vote = self.planners[index].on_claim(clock, (from, life), claim);
                 self.net.extend(vote.map(|vote| (to, from, Message::Vote(vote))));
             }
             Message::Vote(vote) => {
-                let claims = self.planners[of].on_vote(clock, from, vote);
-                self.send(of, claims);
+                let claims = self.planners[index].on_vote(clock, from, vote);
+                self.send(index, claims);
             }
         }
     }
@@ -106,9 +106,9 @@
         let mut state = State { now: 0, planners, net: BTreeSet::new(), crashes: 0, give_backs: 0 };
         // The last claims of the initial holders are answered just before the start.
         for early in (1..=3).rev().map(|round| 8 * round) {
-            for of in &self.initial_holders {
-                let claims = state.planners[*of].tick(1_000 - early);
-                state.send(*of, claims);
+            for index in &self.initial_holders {
+                let claims = state.planners[*index].tick(1_000 - early);
+                state.send(*index, claims);
                 while let Some(envelope) = state.net.pop_first() {
                     state.deliver_at(envelope, 1_000 - early);
                 }
@@ -125,9 +125,9 @@
                 Step::Lose(*envelope),
             ]);
         }
-        actions.extend(self.ticking.iter().map(|&of| Step::Tick(of)));
+        actions.extend(self.ticking.iter().map(|&index| Step::Tick(index)));
         if state.crashes < self.crashes {
-            actions.extend(self.crashing.iter().map(|&of| Step::Crash(of)));
+            actions.extend(self.crashing.iter().map(|&index| Step::Crash(index)));
         }
         if state.give_backs < self.give_backs {
             actions.push(Step::GiveBack(0));
@@ -147,21 +147,21 @@
                 }
             }
             Step::Lose(envelope) => _ = state.net.remove(&envelope),
-            Step::Tick(of) => {
-                let clock = state.clock(of);
-                let claims = state.planners[of].tick(clock);
-                state.send(of, claims);
+            Step::Tick(index) => {
+                let clock = state.clock(index);
+                let claims = state.planners[index].tick(clock);
+                state.send(index, claims);
             }
-            Step::Crash(of) => {
-                let (clock, life) = (state.clock(of), state.planners[of].life + 10);
-                state.planners[of] = self.planner(of, life, clock);
+            Step::Crash(index) => {
+                let (clock, life) = (state.clock(index), state.planners[index].life + 10);
+                state.planners[index] = self.planner(index, life, clock);
                 state.crashes += 1;
             }
-            Step::GiveBack(of) => {
-                let clock = state.clock(of);
-                for (slot, _) in state.planners[of].slot_leases().slots.clone() {
-                    let claims = state.planners[of].give_back(clock, slot);
-                    state.send(of, claims);
+            Step::GiveBack(index) => {
+                let clock = state.clock(index);
+                for (slot, _) in state.planners[index].slot_leases().slots.clone() {
+                    let claims = state.planners[index].give_back(clock, slot);
+                    state.send(index, claims);
                 }
                 state.give_backs += 1;
             }
@@ -176,10 +176,10 @@
                 (0..3).all(|slot| state.holders(slot) <= 1)
             }),
             Property::sometimes("a caretaker holds another planner's slot", |_, state: &State| {
-                let slots = |of: usize| &state.planners[of].slot_leases().slots;
-                (0..3).any(|of| {
-                    let clock = state.clock(of);
-                    slots(of).iter().any(|(slot, until)| usize::from(*slot) != of && clock < *until)
+                let slots = |index: usize| &state.planners[index].slot_leases().slots;
+                (0..3).any(|index| {
+                    let clock = state.clock(index);
+                    slots(index).iter().any(|(slot, until)| usize::from(*slot) != index && clock < *until)
                 })
             }),
             Property::sometimes("a slot expires", |_, state: &State| state.holders(0) == 0 && state.now > 0),
--- a/src/decide/groups/mod.rs
+++ b/src/decide/groups/mod.rs
@@ -41,7 +41,7 @@
     /// To be submitted at that time.
     Waiting(Seconds),
     /// Submitted as a job, and not running yet.
-    Asked,
+    Submitted,
     /// Running.
     Stands,
     /// Ran to its end.
@@ -160,25 +160,25 @@
     /// Members that are still to be submitted; room is reserved for them.
     pub fn waiting(&self) -> impl Iterator<Item = MemberNo> + '_ {
         let placing = self.phase == Phase::Placing;
-        self.of(|m| matches!(m, Member::Waiting(_))).filter(move |_| placing)
+        self.members_where(|m| matches!(m, Member::Waiting(_))).filter(move |_| placing)
     }
 
     /// Members that were submitted and do not run yet.
     pub fn asked(&self) -> impl Iterator<Item = MemberNo> + '_ {
-        self.of(|m| matches!(m, Member::Asked))
+        self.members_where(|m| matches!(m, Member::Submitted))
     }
 
     /// Members that are being cut and may still run.
     pub fn unproved(&self) -> impl Iterator<Item = MemberNo> + '_ {
-        self.of(|m| matches!(m, Member::Cutting))
+        self.members_where(|m| matches!(m, Member::Cutting))
     }
 
     /// Members that stand.
     pub fn standing(&self) -> impl Iterator<Item = MemberNo> + '_ {
-        self.of(|m| matches!(m, Member::Stands))
+        self.members_where(|m| matches!(m, Member::Stands))
     }
 
-    fn of(&self, is: fn(&Member) -> bool) -> impl Iterator<Item = MemberNo> + '_ {
+    fn members_where(&self, is: fn(&Member) -> bool) -> impl Iterator<Item = MemberNo> + '_ {
         self.members.iter().enumerate().filter(move |(_, m)| is(m)).map(|(at, _)| at)
     }
 
@@ -228,8 +228,8 @@
         self.wake(now, actions);
     }
 
-    /// Starts a try: members that take longer to start are submitted earlier, so that all start at about the
-    /// same time.
+    /// Begins a try of the whole group: members that take longer to start are submitted earlier, so that all
+    /// start at about the same time.
     fn start_try(&mut self, now: Seconds) {
         self.phase = Phase::Placing;
         self.tries += 1;
@@ -243,8 +243,8 @@
 
     fn stands(&mut self, now: Seconds, member: MemberNo, actions: &mut Vec<Action>) {
         match self.members.get_mut(member) {
-            Some(state @ Member::Asked) => *state = Member::Stands,
-            // Its start was reported while the cut was on its way: cuts it where it runs.
+            Some(state @ Member::Submitted) => *state = Member::Stands,
+            // Its start was reported while it was being withdrawn: cuts it where it runs.
             Some(Member::Cutting) => actions.push(Action::Cut(member)),
             _ => {}
         }
@@ -256,13 +256,13 @@
 
     /// Handles a member that was refused or failed.
     fn not_placed(&mut self, now: Seconds, member: MemberNo, why: Why, actions: &mut Vec<Action>) {
-        let Some(state @ Member::Asked) = self.members.get_mut(member) else { return };
+        let Some(state @ Member::Submitted) = self.members.get_mut(member) else { return };
         // Attempts of it may have run: cuts it until the machines confirm that none does.
         *state = Member::Cutting;
         actions.push(Action::Cut(member));
         match self.phase {
             Phase::Placing => self.give_up(now, why, actions),
-            // It was the replacement of a lost member.
+            // It was the replacement for a lost member.
             Phase::Standing => self.replace(now, actions),
             _ => {}
         }
@@ -306,7 +306,7 @@
         for (at, member) in self.members.iter_mut().enumerate() {
             match member {
                 Member::Waiting(_) => *member = Member::Clear,
-                Member::Asked | Member::Stands => {
+                Member::Submitted | Member::Stands => {
                     *member = Member::Cutting;
                     actions.push(Action::Cut(at));
                 }
@@ -334,7 +334,7 @@
                 let replace = self.policy.on_loss == OnLoss::Replace;
                 for at in 0..self.members.len() {
                     if replace && self.members[at] == Member::Clear {
-                        self.members[at] = Member::Asked;
+                        self.members[at] = Member::Submitted;
                         actions.push(Action::Place(at));
                     }
                 }
@@ -366,7 +366,7 @@
         for (at, member) in self.members.iter_mut().enumerate() {
             match *member {
                 Member::Waiting(due) if now >= due => {
-                    *member = Member::Asked;
+                    *member = Member::Submitted;
                     actions.push(Action::Place(at));
                 }
                 _ => {}
--- a/src/decide/groups/model.rs
+++ b/src/decide/groups/model.rs
@@ -34,7 +34,7 @@
     copies: u8,
     hangs: bool,
     /// The reducer's view: an offer is unanswered, or a copy is known to run.
-    asked: bool,
+    offer_pending: bool,
     stands: bool,
     /// A cut was sent and is not confirmed yet.
     cut: bool,
@@ -47,8 +47,8 @@
     wakes: Vec<u32>,
     connections: Vec<Connection>,
     answers: Vec<Answer>,
-    /// A claim in an answer that was false.
-    false_claim: Option<&'static str>,
+    /// How the group's answer was false, if it was.
+    false_answer: Option<&'static str>,
     runs_twice: bool,
     cancelled: bool,
     finished: u8,
@@ -60,7 +60,7 @@
         let g = &self.group;
         let member = |m: &Member| match m {
             Member::Waiting(due) => (0, due.to_bits()),
-            Member::Asked => (1, 0),
+            Member::Submitted => (1, 0),
             Member::Stands => (2, 0),
             Member::Finished => (3, 0),
             Member::Cutting => (4, 0),
@@ -71,7 +71,7 @@
         let times =
             [g.release_until, g.readmit_at, g.partial_since.unwrap_or(-1.0), g.retry_in_s].map(f64::to_bits);
         let own =
-            (self.now, &self.wakes, &self.connections, self.false_claim, self.runs_twice, self.cancelled);
+            (self.now, &self.wakes, &self.connections, self.false_answer, self.runs_twice, self.cancelled);
         (members, counts, times, own, self.answers.len(), self.finished)
     }
 }
@@ -94,7 +94,7 @@
     Take(usize, Up),
     /// The planner receives the next message.
     Receive(usize),
-    /// A copy that runs ends or is lost.
+    /// A running copy ends or is lost.
     End(usize, Up),
     /// A machine hangs, or goes on.
     Hang(usize),
@@ -133,15 +133,15 @@
                 Action::Place(at) => {
                     let connection = &mut state.connections[at];
                     connection.down.push_back(Down::Offer);
-                    (connection.asked, connection.stands, connection.cut) = (true, false, false);
+                    (connection.offer_pending, connection.stands, connection.cut) = (true, false, false);
                 }
                 Action::Cut(at) => {
                     let connection = &mut state.connections[at];
-                    if connection.asked || connection.stands {
+                    if connection.offer_pending || connection.stands {
                         connection.down.push_back(Down::Cut);
                         connection.cut = true;
                     }
-                    (connection.asked, connection.stands) = (false, false);
+                    (connection.offer_pending, connection.stands) = (false, false);
                     if !connection.cut {
                         clear.push(at);
                     }
@@ -153,10 +153,10 @@
                         state.connections.iter().filter(|l| l.stands).count() + usize::from(state.finished);
                     match answer {
                         Answer::Placed if known < self.members => {
-                            state.false_claim = Some("placed, but not all members run")
+                            state.false_answer = Some("placed, but not all members run")
                         }
                         Answer::Refused { .. } if copies > 0 || offered || state.finished > 0 => {
-                            state.false_claim = Some("refused, but a member runs or has finished");
+                            state.false_answer = Some("refused, but a member runs or has finished");
                         }
                         _ => {}
                     }
@@ -195,7 +195,7 @@
             wakes,
             connections,
             answers,
-            false_claim: None,
+            false_answer: None,
             runs_twice: false,
             cancelled: false,
             finished: 0,
@@ -260,18 +260,19 @@
                 // the end.
                 let connection = &mut state.connections[at];
                 let message = connection.up.pop_front()?;
-                let (asked, stands, cut) = (connection.asked, connection.stands, connection.cut);
+                let (offer_pending, stands, cut) =
+                    (connection.offer_pending, connection.stands, connection.cut);
                 let event = match message {
-                    Up::Runs if asked => {
-                        (connection.asked, connection.stands) = (false, true);
+                    Up::Runs if offer_pending => {
+                        (connection.offer_pending, connection.stands) = (false, true);
                         Some(Event::Stands { member: at })
                     }
-                    Up::Refused if asked => {
-                        connection.asked = false;
+                    Up::Refused if offer_pending => {
+                        connection.offer_pending = false;
                         Some(Event::Refused { member: at, retry_in_s: 0.0 })
                     }
-                    Up::Failed if asked => {
-                        connection.asked = false;
+                    Up::Failed if offer_pending => {
+                        connection.offer_pending = false;
                         Some(Event::Failed { member: at })
                     }
                     Up::Ended if stands => {
@@ -310,7 +311,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one answer", |_, s: &State| s.answers.len() <= 1),
-            Property::always("placed and refused are true", |_, s: &State| s.false_claim.is_none()),
+            Property::always("placed and refused are true", |_, s: &State| s.false_answer.is_none()),
             Property::always("no member runs twice", |_, s: &State| !s.runs_twice),
             Property::always("no group stands in part for too long", |w: &GroupModel, s: &State| {
                 let g = &s.group;
--- a/src/decide/groups/settings.rs
+++ b/src/decide/groups/settings.rs
@@ -100,8 +100,8 @@
         if let Some((_, figures)) = self.routes.iter().find(takes) {
             return *figures;
         }
-        let of = |class: usize| self.classes.get(class).copied().flatten().unwrap_or(self.default);
-        members.iter().map(|(class, _)| of(*class)).reduce(Figures::stricter).unwrap_or(self.default)
+        let figures_of = |class: usize| self.classes.get(class).copied().flatten().unwrap_or(self.default);
+        members.iter().map(|(class, _)| figures_of(*class)).reduce(Figures::stricter).unwrap_or(self.default)
     }
 }
 
--- a/src/decide/limits/mod.rs
+++ b/src/decide/limits/mod.rs
@@ -279,19 +279,19 @@
     pub fn admit(
         &mut self,
         now: Seconds,
-        of: &Resolved,
+        resolved: &Resolved,
         until: Seconds,
     ) -> Result<Option<Ticket>, Rejection> {
-        if of.is_uncounted() {
+        if resolved.is_uncounted() {
             return Ok(None);
         }
-        let flight = of.in_flight.and_then(|(origin, most)| Some((self.gauge_index(origin)?, most)));
+        let flight = resolved.in_flight.and_then(|(origin, most)| Some((self.gauge_index(origin)?, most)));
         let fleet_use = match flight {
             Some((gauge_index, most)) => self.take_flight(now, gauge_index, most, until)?,
             None => None,
         };
         if let Some((gauge_index, rate)) =
-            of.rate.and_then(|(origin, rate)| Some((self.gauge_index(origin)?, rate)))
+            resolved.rate.and_then(|(origin, rate)| Some((self.gauge_index(origin)?, rate)))
         {
             if let Err(retry_in_s) = self.take_rate(now, gauge_index, rate) {
                 if let Some(gauge) = flight.and_then(|(gauge_index, _)| self.gauge(gauge_index)) {
@@ -303,7 +303,7 @@
                 return Err(Rejection { why: Why::Rate, retry_in_s });
             }
         }
-        let budget = of.budget.and_then(|(origin, budget)| Some((self.gauge_index(origin)?, budget)));
+        let budget = resolved.budget.and_then(|(origin, budget)| Some((self.gauge_index(origin)?, budget)));
         let flight = flight.map(|(gauge_index, _)| gauge_index);
         for gauge_index in flight.into_iter().chain(budget.map(|(gauge_index, _)| gauge_index)) {
             if let Some(gauge) = self.gauge(gauge_index) {
