--- a/src/decide/budgets/ledger.rs
+++ b/src/decide/budgets/ledger.rs
@@ -270,8 +270,8 @@
         }
     }
 
-    /// This planner's whole base of a budget that is never lent (a retry floor); 0 in the grace period after a
-    /// start, in which uses of an earlier incarnation may not have ended.
+    /// This planner's whole base of a budget that is never lent (a retry floor); 0 in the grace period after
+    /// a start, in which uses of an earlier incarnation may not have ended.
     pub fn floor(&self, now: Micros, id: BudgetId) -> u64 {
         let Some(account) = self.accounts.get(&id) else { return 0 };
         let (me, members) = self.fleet.place();
--- a/src/decide/groups/mod.rs
+++ b/src/decide/groups/mod.rs
@@ -31,8 +31,8 @@
 use crate::placer::Seconds;
 pub use interface::{Action, Answer, Event, MemberNo, OnLoss, Phase, Policy, Why};
 
-/// Share of `partial_s` after which a group that stands in part is given up; the rest of that time is left for
-/// the cuts to reach the machines.
+/// Share of `partial_s` after which a group that stands in part is given up; the rest of that time is left
+/// for the cuts to reach the machines.
 const GIVE_UP_SHARE: f64 = 0.8;
 
 /// The state of a member.
--- a/src/decide/links/mod.rs
+++ b/src/decide/links/mod.rs
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Selects the connection to be reclaimed now, if any: the least recently used one that is idle. At most as
-    /// many are being reclaimed as machines wait.
+    /// Selects the connection to be reclaimed now, if any: the least recently used one that is idle. At most
+    /// as many are being reclaimed as machines wait.
     pub fn give_back(&mut self, now: Seconds, is_idle: impl Fn(MachineId) -> bool) -> Option<MachineId> {
         let reclaimed = self.held.values().filter(|h| h.reclaimed).count();
         if reclaimed >= self.waiting.len() {
--- a/src/decide/silence/checks.rs
+++ b/src/decide/silence/checks.rs
@@ -1,18 +1,18 @@
 //! Schedules the periodic checks of a connection to a machine. Pure: times and the state of the connection
 //! come in.
 //!
-//! Each connection has a grid of check times of its own: they are [`CHECK_INTERVAL_S`] apart, and the first one
-//! is random. Checks at which nothing could be due are skipped.
+//! Each connection has a grid of check times of its own: they are [`CHECK_INTERVAL_S`] apart, and the first
+//! one is random. Checks at which nothing could be due are skipped.
 //!
 //! - A check that finds something runs at the same time as if none were skipped: nothing that is due is found
 //!   later, and nothing is found twice (`what_is_left_out_would_have_found_nothing`).
-//! - A connection with no open probe, no held tasks and no partial line is not checked, unless another machine
-//!   waits for a connection slot (`an_idle_connection_is_not_looked_at`).
+//! - A connection with no open probe, no held tasks and no partial line is not checked, unless another
+//!   machine waits for a connection slot (`an_idle_connection_is_not_looked_at`).
 //! - A late check shifts the grid, and missed checks are not made up for (`a_late_look_moves_the_grid`).
 //!
 //! The code that drives a connection plans the next check anew whenever there may be something new to check:
-//! a probe is sent, a partial line arrives, the machine gets its first task, or a machine begins to wait for a
-//! connection slot while no other waits.
+//! a probe is sent, a partial line arrives, the machine gets its first task, or a machine begins to wait for
+//! a connection slot while no other waits.
 
 use super::Watch;
 use crate::placer::Seconds;
--- a/src/decide/silence/mod.rs
+++ b/src/decide/silence/mod.rs
@@ -2,9 +2,9 @@
 //! connection, when to close a connection, and when to report the held tasks as lost. Pure: times and counts
 //! come in.
 //!
-//! - Held tasks are reported lost within [`LOST_AFTER_S`] of the machine's last message, so that their owners have
-//!   the answer within the protocol's 8 s, even if every dial since then ran into its time-out
-//!   (`a_lost_task_is_told_in_time`).
+//! - Held tasks are reported lost within [`LOST_AFTER_S`] of the machine's last sign of activity, so that
+//!   their owners have the answer within the protocol's 8 s, even if every dial since then ran into its
+//!   time-out (`a_lost_task_is_told_in_time`).
 //! - A single machine that falls silent is soon assumed to have failed. Many that are silent at once are
 //!   assumed to be cut off by the network (`many_silent_machines_are_waited_for`): their tasks still run, and
 //!   if each planner reported them lost, all would be restarted at the same time on the rest of the fleet.
@@ -14,15 +14,16 @@
 //!   refused, a message that costs nothing is written to the old connection: the host of a process that has
 //!   exited answers it with a reset.
 //! - A machine that drains and takes no new connections may no longer report the ends of tasks, even if its
-//!   old connection is up and it answers each probe there. Its tasks are reported lost [`LOST_AFTER_S`] after it
-//!   last accepted a connection or reported on a task (`a_drain_that_tells_of_no_end_is_not_waited_for`).
+//!   old connection is up and it answers each probe there. Its tasks are reported lost [`LOST_AFTER_S`] after
+//!   it last accepted a connection or reported on a task (`a_drain_that_tells_of_no_end_is_not_waited_for`).
 
 pub mod checks;
 
 use crate::placer::Seconds;
 
-/// Seconds without a message from the machine after which its tasks are reported lost. The answer must reach
-/// the owner within 8 s, and the last dial and one more check still follow this time.
+/// Seconds without a sign of activity from the machine after which its tasks are reported lost; where it
+/// refuses dials, seconds without a report on a task. The answer must reach the owner within 8 s, and the
+/// last dial and one more check still follow this time.
 pub const LOST_AFTER_S: Seconds = 6.5;
 /// Seconds of silence after which a machine that holds tasks is dialled; the base interval of further
 /// dials.
@@ -37,8 +38,8 @@
 pub const MANY_SILENT: usize = 8;
 
 /// Whether the tasks at a machine are to be reported lost, given the number of consecutive failed dials, the
-/// time since the last message from the machine, and the number of machines, this one included, that no dial
-/// reaches now.
+/// time since the machine's last sign of activity, and the number of machines, this one included, that no
+/// dial reaches now.
 pub fn is_lost(failed_dials: u32, quiet_s: Seconds, silent_now: usize) -> bool {
     failed_dials >= MIN_FAILED_DIALS && (silent_now < MANY_SILENT || quiet_s >= LOST_AFTER_S)
 }
@@ -100,7 +101,7 @@
 /// The monitor of one open connection.
 #[derive(Clone, Debug)]
 pub struct Watch {
-    /// When a message last arrived on the connection.
+    /// When data last arrived on the connection.
     last_received: Seconds,
     signs: MachineActivity,
     dial_at: Seconds,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Records that a message arrived on the connection; `of_task` if it reports on a task rather than merely
+    /// Records that data arrived on the connection; `of_task` if it reports on a task rather than merely
     /// answers a probe.
     pub fn heard(&mut self, now: Seconds, of_task: bool) {
         let last_task_report = if of_task { now } else { self.signs.last_task_report };
@@ -133,8 +134,9 @@
         self.signs
     }
 
-    /// Returns what is due; `holds_tasks` if the machine holds tasks. `draw`, from 0 to 1, is this planner's own
-    /// random number: without it, all planners connected to a machine would dial it in step after a fault.
+    /// Returns what is due; `holds_tasks` if the machine holds tasks. `draw`, from 0 to 1, is this planner's
+    /// own random number: without it, all planners connected to a machine would dial it in step after a
+    /// fault.
     pub fn check(&mut self, now: Seconds, holds_tasks: bool, draw: f64) -> Step {
         if !holds_tasks {
             return Step::Wait;
@@ -165,8 +167,8 @@
         dial.min(end)
     }
 
-    /// Processes the result of a dial; `attempt_open` if an attempt is open on the connection, which closing it
-    /// would abandon.
+    /// Processes the result of a dial; `attempt_open` if an attempt is open on the connection, which closing
+    /// it would abandon.
     pub fn dialled(&mut self, now: Seconds, dial: Dial, attempt_open: bool) -> Step {
         match dial {
             Dial::Short => return Step::Wait,
