--- a/src/decide/budgets/model.rs
+++ b/src/decide/budgets/model.rs
@@ -27,7 +27,7 @@
     now: u64,
     shares: Vec<Share>,
     slot_leases: Vec<SlotLeases>,
-    lives: Vec<Incarnation>,
+    incarnations: Vec<Incarnation>,
     /// Messages in transit; a delivered one may be delivered again.
     net: BTreeSet<(Member, Member, Message)>,
     crashes: u8,
@@ -36,12 +36,12 @@
 }
 
 impl State {
-    fn clock(&self, of: usize) -> Micros {
-        1_000 + self.now * RATES[of]
+    fn clock(&self, index: usize) -> Micros {
+        1_000 + self.now * RATES[index]
     }
 
     fn sum(&self) -> u64 {
-        let usable = |(of, s): (usize, &Share)| s.usable(&self.slot_leases[of], self.clock(of));
+        let usable = |(index, s): (usize, &Share)| s.usable(&self.slot_leases[index], self.clock(index));
         self.shares.iter().enumerate().map(usable).sum()
     }
 
@@ -106,12 +106,12 @@
         };
         let shares = (0..self.members).map(share).collect();
         let slot_leases = (0..self.members).map(|_| initial_leases(began)).collect();
-        let lives = (0..self.members).map(|me| u64::from(me) + 1).collect();
+        let incarnations = (0..self.members).map(|me| u64::from(me) + 1).collect();
         vec![State {
             now: 0,
             shares,
             slot_leases,
-            lives,
+            incarnations,
             net: BTreeSet::new(),
             crashes: 0,
             demand_changes: 0,
@@ -145,11 +145,13 @@
         match step {
             Step::Deliver(message, stays) => {
                 let (from, to, content) = message;
-                let (of, clock) = (usize::from(to), state.clock(usize::from(to)));
+                let (index, clock) = (usize::from(to), state.clock(usize::from(to)));
                 let answer = match content {
-                    Message::Ask(ask) => state.shares[of].on_ask(&state.slot_leases[of], clock, from, ask),
+                    Message::Ask(ask) => {
+                        state.shares[index].on_ask(&state.slot_leases[index], clock, from, ask)
+                    }
                     Message::Grant(grant) => {
-                        state.shares[of].on_grant(clock, from, grant);
+                        state.shares[index].on_grant(clock, from, grant);
                         None
                     }
                 };
@@ -159,23 +161,23 @@
                 state.net.extend(answer.map(|answer| (to, from, Message::Grant(answer))));
             }
             Step::Lose(message) => _ = state.net.remove(&message),
-            Step::Ask(of) => {
-                let clock = state.clock(of);
-                let asks = state.shares[of].tick(&state.slot_leases[of], clock);
-                state.net.extend(asks.into_iter().map(|(to, ask)| (of as Member, to, Message::Ask(ask))));
+            Step::Ask(index) => {
+                let clock = state.clock(index);
+                let asks = state.shares[index].tick(&state.slot_leases[index], clock);
+                state.net.extend(asks.into_iter().map(|(to, ask)| (index as Member, to, Message::Ask(ask))));
             }
-            Step::Crash(of) => {
-                let clock = state.clock(of);
-                state.lives[of] += 10;
-                let need = state.shares[of].demand();
-                state.shares[of] = self.share(of as Member, state.lives[of], clock);
-                state.shares[of].set_need(need, 0, 0);
-                state.slot_leases[of] = initial_leases(clock);
+            Step::Crash(index) => {
+                let clock = state.clock(index);
+                state.incarnations[index] += 10;
+                let need = state.shares[index].demand();
+                state.shares[index] = self.share(index as Member, state.incarnations[index], clock);
+                state.shares[index].set_need(need, 0, 0);
+                state.slot_leases[index] = initial_leases(clock);
                 state.crashes += 1;
             }
-            Step::ToggleDemand(of) => {
-                let need = if state.shares[of].demand() == 0 { ALL } else { 0 };
-                state.shares[of].set_need(need, 0, 0);
+            Step::ToggleDemand(index) => {
+                let need = if state.shares[index].demand() == 0 { ALL } else { 0 };
+                state.shares[index].set_need(need, 0, 0);
                 state.demand_changes += 1;
             }
             Step::Time => state.now += 1,
@@ -185,26 +187,26 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no more than the whole", |world: &World, state: &State| {
+            Property::always("the units in use never exceed the total", |world: &World, state: &State| {
                 state.sum() <= world.total
             }),
             Property::sometimes("a planner has more than its base", |world: &World, state: &State| {
                 let first = &state.shares[0];
                 first.usable(&state.slot_leases[0], state.clock(0)) > base(world.total, world.members, 0, 0)
             }),
-            Property::sometimes("a loan lapses", |_, state: &State| {
-                let lapsed = |b: &Borrowed| b.loan.expiry() > 0 && b.loan.units_at(state.clock(0)) == 0;
-                state.shares[0].borrowed.values().any(lapsed)
+            Property::sometimes("a loan expires", |_, state: &State| {
+                let expired = |b: &Borrowed| b.loan.expiry() > 0 && b.loan.units_at(state.clock(0)) == 0;
+                state.shares[0].borrowed.values().any(expired)
             }),
         ]
     }
 }
 
-fn check(world: World, depth: usize, least: usize) {
+fn check(world: World, depth: usize, min_states: usize) {
     let checker = world.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
-    assert!(checker.unique_state_count() > least, "{} states", checker.unique_state_count());
+    assert!(checker.unique_state_count() > min_states, "{} states", checker.unique_state_count());
 }
 
 #[test]
--- a/src/decide/groups/mod.rs
+++ b/src/decide/groups/mod.rs
@@ -12,8 +12,9 @@
 //!   (`model`: "placed and refused are true").
 //! - A member is placed again only once it is proved that its earlier copy is gone (`model`: "no member runs
 //!   twice").
-//! - A group stands in part for at most `partial_s`: by then it stands whole, or all its members are cut
-//!   (`model`: "no group stands in part for too long"; `tests::a_partial_group_is_cut_in_time`).
+//! - A group stands in part, that is with some but not all of its members, for at most `partial_s`: by then
+//!   all members stand, or the cuts of all members have been sent (`model`: "no group stands in part for too
+//!   long"; `tests::a_partial_group_is_cut_in_time`).
 //! - The answer waits for machines for at most `cut_wait_s`
 //!   (`tests::an_answer_does_not_wait_for_a_silent_machine`).
 
@@ -30,8 +31,8 @@
 use crate::placer::Seconds;
 pub use interface::{Action, Answer, Event, MemberNo, OnLoss, Phase, Policy, Why};
 
-/// Share of `partial_s` after which a group that stands in part is given up; the rest is left for the cuts to
-/// take effect.
+/// Share of `partial_s` after which a group that stands in part is given up; the rest of that time is left
+/// for the cuts to reach the machines.
 const GIVE_UP_SHARE: f64 = 0.8;
 
 /// The state of a member.
@@ -40,7 +41,7 @@
     /// To be submitted at that time.
     Waiting(Seconds),
     /// Submitted as a job, and not running yet.
-    Asked,
+    Submitted,
     /// Running.
     Stands,
     /// Ran to its end.
@@ -75,7 +76,7 @@
     readmit_at: Seconds,
     /// A member has finished, which cannot be undone.
     any_finished: bool,
-    /// The time of the next tick that was requested.
+    /// The time of the next requested tick.
     wake_at: Seconds,
 }
 
@@ -159,25 +160,25 @@
     /// Members that are still to be submitted; room is reserved for them.
     pub fn waiting(&self) -> impl Iterator<Item = MemberNo> + '_ {
         let placing = self.phase == Phase::Placing;
-        self.of(|m| matches!(m, Member::Waiting(_))).filter(move |_| placing)
+        self.members_where(|m| matches!(m, Member::Waiting(_))).filter(move |_| placing)
     }
 
-    /// Members that were submitted and do not stand yet.
+    /// Members that were submitted and do not run yet.
     pub fn asked(&self) -> impl Iterator<Item = MemberNo> + '_ {
-        self.of(|m| matches!(m, Member::Asked))
+        self.members_where(|m| matches!(m, Member::Submitted))
     }
 
     /// Members that are being cut and may still run.
     pub fn unproved(&self) -> impl Iterator<Item = MemberNo> + '_ {
-        self.of(|m| matches!(m, Member::Cutting))
+        self.members_where(|m| matches!(m, Member::Cutting))
     }
 
     /// Members that stand.
     pub fn standing(&self) -> impl Iterator<Item = MemberNo> + '_ {
-        self.of(|m| matches!(m, Member::Stands))
+        self.members_where(|m| matches!(m, Member::Stands))
     }
 
-    fn of(&self, is: fn(&Member) -> bool) -> impl Iterator<Item = MemberNo> + '_ {
+    fn members_where(&self, is: fn(&Member) -> bool) -> impl Iterator<Item = MemberNo> + '_ {
         self.members.iter().enumerate().filter(move |(_, m)| is(m)).map(|(at, _)| at)
     }
 
@@ -227,8 +228,8 @@
         self.wake(now, actions);
     }
 
-    /// Starts a try: members that take longer to start are submitted earlier, so that all start at about the
-    /// same time.
+    /// Begins a try of the whole group: members that take longer to start are submitted earlier, so that all
+    /// start at about the same time.
     fn start_try(&mut self, now: Seconds) {
         self.phase = Phase::Placing;
         self.tries += 1;
@@ -242,8 +243,8 @@
 
     fn stands(&mut self, now: Seconds, member: MemberNo, actions: &mut Vec<Action>) {
         match self.members.get_mut(member) {
-            Some(state @ Member::Asked) => *state = Member::Stands,
-            // Its start was reported while the cut was on its way: cuts it where it runs.
+            Some(state @ Member::Submitted) => *state = Member::Stands,
+            // Its start was reported while it was being withdrawn: cuts it where it runs.
             Some(Member::Cutting) => actions.push(Action::Cut(member)),
             _ => {}
         }
@@ -255,13 +256,13 @@
 
     /// Handles a member that was refused or failed.
     fn not_placed(&mut self, now: Seconds, member: MemberNo, why: Why, actions: &mut Vec<Action>) {
-        let Some(state @ Member::Asked) = self.members.get_mut(member) else { return };
+        let Some(state @ Member::Submitted) = self.members.get_mut(member) else { return };
         // Attempts of it may have run: cuts it until the machines confirm that none does.
         *state = Member::Cutting;
         actions.push(Action::Cut(member));
         match self.phase {
             Phase::Placing => self.give_up(now, why, actions),
-            // It was the replacement of a lost member.
+            // It was the replacement for a lost member.
             Phase::Standing => self.replace(now, actions),
             _ => {}
         }
@@ -305,7 +306,7 @@
         for (at, member) in self.members.iter_mut().enumerate() {
             match member {
                 Member::Waiting(_) => *member = Member::Clear,
-                Member::Asked | Member::Stands => {
+                Member::Submitted | Member::Stands => {
                     *member = Member::Cutting;
                     actions.push(Action::Cut(at));
                 }
@@ -333,7 +334,7 @@
                 let replace = self.policy.on_loss == OnLoss::Replace;
                 for at in 0..self.members.len() {
                     if replace && self.members[at] == Member::Clear {
-                        self.members[at] = Member::Asked;
+                        self.members[at] = Member::Submitted;
                         actions.push(Action::Place(at));
                     }
                 }
@@ -348,8 +349,8 @@
     }
 
     fn place(&mut self, now: Seconds, actions: &mut Vec<Action>) {
-        let whole = |m: &Member| matches!(m, Member::Stands | Member::Finished);
-        if self.members.iter().all(whole) {
+        let placed = |m: &Member| matches!(m, Member::Stands | Member::Finished);
+        if self.members.iter().all(placed) {
             self.phase = Phase::Standing;
             self.partial_since = None;
             self.answer(Answer::Placed, actions);
@@ -365,7 +366,7 @@
         for (at, member) in self.members.iter_mut().enumerate() {
             match *member {
                 Member::Waiting(due) if now >= due => {
-                    *member = Member::Asked;
+                    *member = Member::Submitted;
                     actions.push(Action::Place(at));
                 }
                 _ => {}
