--- a/lab/src/capacity/restart_hollow.rs
+++ b/lab/src/capacity/restart_hollow.rs
@@ -64,7 +64,7 @@
         hollow.request(&message)?;
     }
     let cost = hollow.take_cost();
-    let standing: usize = hollow.machines().map(|machine| hollow.planner.standing_at(machine)).sum();
+    let standing: usize = hollow.machines().map(|machine| hollow.planner.running_at(machine)).sum();
     if standing != tasks {
         return Err(io::Error::other(format!("planner holds {standing} of {tasks} standing tasks")));
     }
--- a/lab/src/capacity/rows/fleet.rs
+++ b/lab/src/capacity/rows/fleet.rs
@@ -154,7 +154,7 @@
         reading: reading("list-machines", "bytes of a whole list", 1.0, "bytes"),
         size: MACHINES,
         bound: Some(Bound { limit: program::LIST_LINE_BYTES, set_by: "program" }),
-        module: "`wire/platform/board`, `wire/platform/machine_list`",
+        module: "`wire/platform/discovery`, `wire/platform/machine_list`",
     },
     Row {
         id: "list-whole-processor",
--- a/lab/src/capacity/state.rs
+++ b/lab/src/capacity/state.rs
@@ -75,7 +75,7 @@
     hollow.advance(EXPIRY_S)?;
     hollow.list(&full_list_line(revision + 1, MACHINES))?;
     let held = hollow.take_cost().allocated.held as f64;
-    let standing: usize = hollow.machines().map(|machine| hollow.planner.standing_at(machine)).sum();
+    let standing: usize = hollow.machines().map(|machine| hollow.planner.running_at(machine)).sum();
     if standing != tasks {
         return Err(io::Error::other(format!("planner holds {standing} of {tasks} standing tasks")));
     }
--- a/lab/src/capacity/targets.rs
+++ b/lab/src/capacity/targets.rs
@@ -52,7 +52,7 @@
 
 /// Limits of the program itself.
 pub mod program {
-    /// The longest line of the machine list in bytes (`wire/platform/board.rs`).
+    /// The longest line of the machine list in bytes (`wire/platform/discovery.rs`).
     pub const LIST_LINE_BYTES: f64 = 4.0 * 1024.0 * 1024.0;
     /// The largest configuration file in bytes (`document`).
     pub const FILE_BYTES: f64 = 4.0 * 1024.0 * 1024.0;
--- a/lab/src/simulation.rs
+++ b/lab/src/simulation.rs
@@ -286,7 +286,7 @@
                 if let Some(budgets) = planner.budgets.as_mut() {
                     messages
                         .iter()
-                        .for_each(|message| budgets.hear(clock, (from, incarnation), *message, &mut out));
+                        .for_each(|message| budgets.receive(clock, (from, incarnation), *message, &mut out));
                 }
                 self.send(to, out);
                 self.start_jobs(to);
--- a/src/decide/budgets/ledger.rs
+++ b/src/decide/budgets/ledger.rs
@@ -175,8 +175,8 @@
 
 impl BudgetLedger {
     /// The part of an incarnation that starts at `now`.
-    pub fn new(plan: &Plan, life: Incarnation, now: Micros) -> BudgetLedger {
-        let fleet = Fleet::new(plan.place, life, plan.voters.clone(), plan.terms, now);
+    pub fn new(plan: &Plan, incarnation: Incarnation, now: Micros) -> BudgetLedger {
+        let fleet = Fleet::new(plan.place, incarnation, plan.voters.clone(), plan.terms, now);
         BudgetLedger { fleet, accounts: BTreeMap::new(), started: now, number: 0, lines: Vec::new() }
     }
 
@@ -202,8 +202,13 @@
         let (fleet, terms) = (&self.fleet, self.fleet.terms());
         for (id, spec) in all {
             let floor = if spec.kind == Kind::RetryFloor { 1000 } else { fleet.floor_permille() };
-            let mut share =
-                Share::new(fleet.place(), fleet.life(), (spec.total, id), (terms, floor), self.started);
+            let mut share = Share::new(
+                fleet.place(),
+                fleet.incarnation(),
+                (spec.total, id),
+                (terms, floor),
+                self.started,
+            );
             share.set_total(spec.total, spec.hold);
             // An initial guess, where the operators' file sets no hold time.
             let mean_use_us = if spec.hold > 0 { spec.hold as f64 } else { terms.lease as f64 / 4.0 };
@@ -282,18 +287,20 @@
     }
 
     /// Processes a message and appends the answers to `out`.
-    pub fn hear(
+    pub fn receive(
         &mut self,
         now: Micros,
-        (from, life): (Member, Incarnation),
+        (from, incarnation): (Member, Incarnation),
         message: PeerMessage,
         out: &mut Vec<(Member, PeerMessage)>,
     ) {
-        self.fleet.record_heard(now, from, life);
+        self.fleet.record_heard(now, from, incarnation);
         match message {
             PeerMessage::Claim(claim) => {
                 out.extend(
-                    self.fleet.on_claim(now, (from, life), claim).map(|vote| (from, PeerMessage::Vote(vote))),
+                    self.fleet
+                        .on_claim(now, (from, incarnation), claim)
+                        .map(|vote| (from, PeerMessage::Vote(vote))),
                 );
             }
             PeerMessage::Vote(vote) => out.extend(claim_messages(self.fleet.on_vote(now, from, vote))),
--- a/src/decide/budgets/model.rs
+++ b/src/decide/budgets/model.rs
@@ -83,8 +83,8 @@
 }
 
 impl World {
-    fn share(&self, me: Member, life: Incarnation, now: Micros) -> Share {
-        Share::new((me, self.members), life, (self.total, 0), (TERMS, 1000), now)
+    fn share(&self, me: Member, incarnation: Incarnation, now: Micros) -> Share {
+        Share::new((me, self.members), incarnation, (self.total, 0), (TERMS, 1000), now)
     }
 }
 
--- a/src/decide/budgets/share.rs
+++ b/src/decide/budgets/share.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ask {
     /// The incarnation of the asker.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Sequence number of this incarnation's asks to that lender.
     pub number: u32,
     /// Units wanted, those already borrowed included.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Grant {
     /// The incarnation of the asker.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The number of the ask that is answered.
     pub number: u32,
     /// Units on loan.
@@ -108,7 +108,7 @@
 pub struct Share {
     me: Member,
     members: Member,
-    life: Incarnation,
+    incarnation: Incarnation,
     terms: Terms,
     floor_permille: u64,
     salt: u64,
@@ -153,7 +153,7 @@
     /// units.
     pub fn new(
         (me, members): (Member, Member),
-        life: Incarnation,
+        incarnation: Incarnation,
         (total, salt): (u64, u64),
         (terms, floor_permille): (Terms, u64),
         started: Micros,
@@ -162,7 +162,7 @@
         Share {
             me,
             members,
-            life,
+            incarnation,
             terms,
             floor_permille,
             salt,
@@ -179,7 +179,7 @@
             started,
             next_ask_at: started,
             ask_pause: terms.ask_every,
-            last_lender: (life % u64::from(members)) as Member,
+            last_lender: (incarnation % u64::from(members)) as Member,
         }
     }
 
@@ -296,15 +296,15 @@
         }
         self.note_peer_figures(now, ask.total, ask.hold);
         let (units, span) = self.lend(leases, now, from, ask)?;
-        let (life, number) = (ask.life, ask.number);
-        Some(Grant { life, number, units, span, total: self.total(now), hold: self.hold(now) })
+        let (incarnation, number) = (ask.incarnation, ask.number);
+        Some(Grant { incarnation, number, units, span, total: self.total(now), hold: self.hold(now) })
     }
 
     /// Processes a grant.
     pub fn on_grant(&mut self, now: Micros, from: Member, grant: Grant) {
         self.note_peer_figures(now, grant.total, grant.hold);
         let Some(borrowed) = self.borrowed.get_mut(&from) else { return };
-        if grant.life == self.life && grant.number == borrowed.number {
+        if grant.incarnation == self.incarnation && grant.number == borrowed.number {
             let Some(pending_since) = borrowed.pending_since.take() else { return };
             let more = grant.units > borrowed.loan.units_at(now);
             borrowed.loan.add(
@@ -335,7 +335,7 @@
 
     fn lend(&mut self, leases: &SlotLeases, now: Micros, to: Member, ask: Ask) -> Option<(u64, Micros)> {
         self.lent.retain(|_, lent| now < lent.loan.expiry());
-        let key = (to, ask.life);
+        let key = (to, ask.incarnation);
         let lent = self.lent.entry(key).or_default();
         if ask.number <= lent.number {
             // A late or duplicate ask: the grant that answered it, if any, is in transit or lost.
@@ -368,7 +368,7 @@
     /// The part of the state by which the model checker compares states.
     #[cfg(test)]
     pub(super) fn key(&self) -> impl std::hash::Hash + PartialEq + '_ {
-        let figures = (self.life, self.demand, self.next_ask_at, self.ask_pause, self.last_lender);
+        let figures = (self.incarnation, self.demand, self.next_ask_at, self.ask_pause, self.last_lender);
         (figures, &self.lent, &self.borrowed, &self.underserved)
     }
 
@@ -384,7 +384,7 @@
         let mut asks = Vec::new();
         let (usable, wanted) = (self.usable(leases, now), self.demand.max(self.used));
         let mut surplus = usable.saturating_sub(wanted);
-        let (life, total, hold) = (self.life, self.total(now), self.hold(now));
+        let (incarnation, total, hold) = (self.incarnation, self.total(now), self.hold(now));
         let (terms, until) = (self.terms, self.used_until);
         // Units that last until the end of all uses in flight must still cover these uses after a loan is
         // reduced.
@@ -409,7 +409,7 @@
                 borrowed.number += 1;
                 borrowed.pending_since = Some(now);
                 let (number, wants, holds) = (borrowed.number, keeps, keeps);
-                asks.push((lender, Ask { life, number, wants, holds, total, hold }));
+                asks.push((lender, Ask { incarnation, number, wants, holds, total, hold }));
             }
         }
         if wanted > usable && now >= self.next_ask_at {
@@ -422,7 +422,7 @@
                 borrowed.number += 1;
                 borrowed.pending_since = Some(now);
                 let wants = holds + wanted - usable;
-                asks.push((lender, Ask { life, number: borrowed.number, wants, holds, total, hold }));
+                asks.push((lender, Ask { incarnation, number: borrowed.number, wants, holds, total, hold }));
             }
         }
         asks
--- a/src/decide/budgets/tests.rs
+++ b/src/decide/budgets/tests.rs
@@ -43,7 +43,7 @@
     let leases = SlotLeases { grace_until: Micros::MAX, slots: vec![] };
     let mut share = Share::new((2, 3), 3, (9, 0), (TERMS, 1000), 0);
     let now = 10 * TERMS.lease;
-    let grant = |units, span| Grant { life: 3, number: 1, units, span, total: 9, hold: 0 };
+    let grant = |units, span| Grant { incarnation: 3, number: 1, units, span, total: 9, hold: 0 };
     share.set_need(3, 0, 0);
     assert_eq!(share.tick(&leases, now)[0].0, 1);
     share.on_grant(now, 1, grant(1, 900 * MS));
@@ -86,7 +86,7 @@
     );
     assert!(share.admits(&leases, now, 1_000 * MS), "10 units are available while the slot is held");
     assert!(share.can_spare(&leases, now, 0), "the floor covers what is in use");
-    let ask = Ask { life: 9, number: 1, wants: 50, holds: 0, total: 20, hold: 0 };
+    let ask = Ask { incarnation: 9, number: 1, wants: 50, holds: 0, total: 20, hold: 0 };
     let grant = share.on_ask(&leases, now, 1, ask).expect("a grant");
     assert_eq!(grant.units, 5);
     assert!(now + TERMS.lender_span(grant.span) <= end, "lent for {} us", grant.span);
@@ -101,7 +101,7 @@
 fn of_two_files_the_lower_holds() {
     let leases = SlotLeases::default();
     let (mut lender, _, now) = pair(&leases);
-    let ask = Ask { life: 77, number: 1, wants: 0, holds: 0, total: 1, hold: 40 * MS };
+    let ask = Ask { incarnation: 77, number: 1, wants: 0, holds: 0, total: 1, hold: 40 * MS };
     lender.on_ask(&leases, now, 1, ask);
     assert_eq!((lender.total(now), lender.hold(now)), (1, 40 * MS));
     let later = now + 2 * TERMS.lease;
@@ -155,9 +155,9 @@
 fn a_dropped_budget_remembers_what_it_lent() {
     let (mut ledger, id) = ledger(2, 0, Kind::InFlight);
     let now = 10 * TERMS.lease;
-    let ask = Ask { life: 9, number: 1, wants: 1, holds: 0, total: 2, hold: 0 };
+    let ask = Ask { incarnation: 9, number: 1, wants: 1, holds: 0, total: 2, hold: 0 };
     let mut out = Vec::new();
-    ledger.hear(now, (1, 9), PeerMessage::Ask(id, ask), &mut out);
+    ledger.receive(now, (1, 9), PeerMessage::Ask(id, ask), &mut out);
     assert!(matches!(out[..], [(1, PeerMessage::Grant(_, Grant { units: 1, .. }))]), "{out:?}");
     ledger.set(now + MS, []);
     ledger.tick(now + 2 * MS, &mut out);
--- a/src/decide/fleet/mod.rs
+++ b/src/decide/fleet/mod.rs
@@ -111,7 +111,7 @@
     /// The slot.
     pub slot: Member,
     /// The incarnation that made the claim.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The number of the claim.
     pub number: u64,
     /// Whether the voter gave its vote, for one lease.
@@ -158,7 +158,7 @@
 pub struct Fleet {
     me: Member,
     members: Member,
-    life: Incarnation,
+    incarnation: Incarnation,
     terms: Terms,
     voters: Vec<Member>,
     voter: Option<Voter>,
@@ -177,7 +177,7 @@
     /// is tied to slots.
     pub fn new(
         (me, members): (Member, Member),
-        life: Incarnation,
+        incarnation: Incarnation,
         voters: Vec<Member>,
         terms: Terms,
         now: Micros,
@@ -189,7 +189,7 @@
         Fleet {
             me,
             members,
-            life,
+            incarnation,
             terms,
             voters,
             voter,
@@ -208,8 +208,8 @@
     }
 
     /// This incarnation.
-    pub fn life(&self) -> Incarnation {
-        self.life
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     /// Parameters of the leases.
@@ -242,9 +242,9 @@
     }
 
     /// Records that a message from a planner arrived.
-    pub fn record_heard(&mut self, now: Micros, from: Member, life: Incarnation) {
+    pub fn record_heard(&mut self, now: Micros, from: Member, incarnation: Incarnation) {
         if from < self.members && from != self.me {
-            self.last_heard.insert(from, (life, now));
+            self.last_heard.insert(from, (incarnation, now));
         }
     }
 
@@ -283,7 +283,9 @@
     /// Sends a claim to all voters; if this planner votes, its own vote is given at once.
     fn broadcast(&mut self, now: Micros, claim: Claim) -> Vec<(Member, Claim)> {
         let mut claims: Vec<_> = self.voters.iter().filter(|v| **v != self.me).map(|&v| (v, claim)).collect();
-        if let Some(vote) = self.voter.as_mut().and_then(|v| v.on_claim(now, (self.me, self.life), claim)) {
+        if let Some(vote) =
+            self.voter.as_mut().and_then(|v| v.on_claim(now, (self.me, self.incarnation), claim))
+        {
             claims.extend(self.on_vote(now, self.me, vote));
         }
         claims
@@ -323,7 +325,8 @@
             // The jitter depends on the incarnation, so that planners that started together do not claim in
             // step.
             let every = lease / CLAIMS_PER_LEASE;
-            self.next_claim_at = now + every - stable_hash((self.life, self.claim_count)) % (every / 4 + 1);
+            self.next_claim_at =
+                now + every - stable_hash((self.incarnation, self.claim_count)) % (every / 4 + 1);
             if !self.leaving {
                 self.slot_claims
                     .entry(me)
@@ -352,7 +355,7 @@
 
     /// Processes a vote and returns the claims that follow from it.
     pub fn on_vote(&mut self, now: Micros, from: Member, vote: Vote) -> Vec<(Member, Claim)> {
-        if vote.life != self.life || !self.voters.contains(&from) {
+        if vote.incarnation != self.incarnation || !self.voters.contains(&from) {
             return Vec::new();
         }
         if let Some(slot_claim) = self.slot_claims.get_mut(&vote.slot) {
--- a/src/decide/fleet/model.rs
+++ b/src/decide/fleet/model.rs
@@ -43,9 +43,10 @@
     }
 
     fn send(&mut self, index: usize, claims: Vec<(Member, super::Claim)>) {
-        let life = self.planners[index].life;
-        self.net
-            .extend(claims.into_iter().map(|(to, claim)| (index as Member, to, Message::Claim(life, claim))));
+        let incarnation = self.planners[index].incarnation;
+        self.net.extend(
+            claims.into_iter().map(|(to, claim)| (index as Member, to, Message::Claim(incarnation, claim))),
+        );
     }
 
     fn deliver(&mut self, envelope: Envelope) {
@@ -55,8 +56,8 @@
     fn deliver_at(&mut self, (from, to, content): Envelope, clock: Micros) {
         let index = usize::from(to);
         match content {
-            Message::Claim(life, claim) => {
-                let vote = self.planners[index].on_claim(clock, (from, life), claim);
+            Message::Claim(incarnation, claim) => {
+                let vote = self.planners[index].on_claim(clock, (from, incarnation), claim);
                 self.net.extend(vote.map(|vote| (to, from, Message::Vote(vote))));
             }
             Message::Vote(vote) => {
@@ -91,8 +92,8 @@
 }
 
 impl World {
-    fn planner(&self, me: usize, life: Incarnation, now: Micros) -> Fleet {
-        Fleet::new((me as Member, 3), life, self.voters.clone(), TERMS, now)
+    fn planner(&self, me: usize, incarnation: Incarnation, now: Micros) -> Fleet {
+        Fleet::new((me as Member, 3), incarnation, self.voters.clone(), TERMS, now)
     }
 }
 
@@ -153,8 +154,8 @@
                 state.send(index, claims);
             }
             Step::Crash(index) => {
-                let (clock, life) = (state.clock(index), state.planners[index].life + 10);
-                state.planners[index] = self.planner(index, life, clock);
+                let (clock, incarnation) = (state.clock(index), state.planners[index].incarnation + 10);
+                state.planners[index] = self.planner(index, incarnation, clock);
                 state.crashes += 1;
             }
             Step::GiveBack(index) => {
--- a/src/decide/fleet/tests.rs
+++ b/src/decide/fleet/tests.rs
@@ -6,8 +6,8 @@
 const TERMS: Terms =
     Terms { lease: 2 * SECOND, rate_error_ppm: 10_000, ask_every: 50_000, floor_permille: 500 };
 
-fn fleet(me: Member, life: Incarnation, now: Micros) -> Fleet {
-    Fleet::new((me, 3), life, vec![0, 1, 2], TERMS, now)
+fn fleet(me: Member, incarnation: Incarnation, now: Micros) -> Fleet {
+    Fleet::new((me, 3), incarnation, vec![0, 1, 2], TERMS, now)
 }
 
 fn votes(
--- a/src/decide/fleet/voter.rs
+++ b/src/decide/fleet/voter.rs
@@ -46,7 +46,7 @@
     /// Processes a claim and returns the answer, if any.
     pub fn on_claim(&mut self, now: Micros, from: (Member, Incarnation), claim: Claim) -> Option<Vote> {
         let Claim { slot, number, keep } = claim;
-        let mut vote = Vote { slot, life: from.1, number, given: false, wanted: false, free: None };
+        let mut vote = Vote { slot, incarnation: from.1, number, given: false, wanted: false, free: None };
         if now < self.grace_until {
             return keep.then_some(vote);
         }
--- a/src/decide/limits/mod.rs
+++ b/src/decide/limits/mod.rs
@@ -131,7 +131,7 @@
     /// routes.
     gauge_indices: Vec<Option<usize>>,
     classes: Arc<[String]>,
-    books: Option<BudgetLedger>,
+    ledger: Option<BudgetLedger>,
 }
 
 impl Limits {
@@ -140,7 +140,7 @@
     pub fn new(settings: &Settings, classes: Vec<String>) -> Limits {
         let table = Arc::new(Table::new(Model::default(), settings, None));
         let (gauges, free, by_name, gauge_indices) = Default::default();
-        Limits { table, gauges, free, by_name, gauge_indices, classes: classes.into(), books: None }
+        Limits { table, gauges, free, by_name, gauge_indices, classes: classes.into(), ledger: None }
     }
 
     /// The compiled file in force.
@@ -154,13 +154,13 @@
     }
 
     /// Joins a fleet; call this before the first [`Limits::swap`].
-    pub fn join(&mut self, books: BudgetLedger) {
-        self.books = Some(books);
+    pub fn join(&mut self, ledger: BudgetLedger) {
+        self.ledger = Some(ledger);
     }
 
     /// The planner's ledger of the fleet's budgets, if it is part of a fleet.
-    pub fn books(&mut self) -> Option<&mut BudgetLedger> {
-        self.books.as_mut()
+    pub fn ledger(&mut self) -> Option<&mut BudgetLedger> {
+        self.ledger.as_mut()
     }
 
     fn entry_index(&self, origin: Origin) -> usize {
@@ -201,8 +201,8 @@
             self.remove_if_unused(gauge_index);
         }
         self.table = table;
-        if let Some(books) = &mut self.books {
-            books.set(micros(now), wanted);
+        if let Some(ledger) = &mut self.ledger {
+            ledger.set(micros(now), wanted);
         }
     }
 
@@ -213,10 +213,10 @@
         figures: &Figures,
         wanted: &mut Vec<BudgetSpec>,
     ) -> FleetBudgets {
-        let Some(books) = self.books.as_ref().filter(|_| figures.is_shared()) else {
+        let Some(ledger) = self.ledger.as_ref().filter(|_| figures.is_shared()) else {
             return FleetBudgets::default();
         };
-        let lease_s = books.fleet().terms().lease as f64 / 1e6;
+        let lease_s = ledger.fleet().terms().lease as f64 / 1e6;
         let mut want = |kind: Kind, total: u64, hold: Micros| {
             wanted.push(BudgetSpec { place: place.clone(), kind, total, hold });
             kind.id(place)
@@ -297,8 +297,8 @@
                 if let Some(gauge) = flight.and_then(|(gauge_index, _)| self.gauge(gauge_index)) {
                     gauge.flight.put_back();
                 }
-                if let (Some(books), Some(fleet_use)) = (self.books.as_mut(), fleet_use) {
-                    books.put_back(fleet_use);
+                if let (Some(ledger), Some(fleet_use)) = (self.ledger.as_mut(), fleet_use) {
+                    ledger.put_back(fleet_use);
                 }
                 return Err(Rejection { why: Why::Rate, retry_in_s });
             }
@@ -316,10 +316,10 @@
     /// Takes a unit of one of the fleet's budgets for `lasting` seconds. If none is free, returns the seconds
     /// after which this planner may have one.
     fn take(&mut self, now: Seconds, id: BudgetId, lasting: Seconds) -> Result<Option<Use>, Seconds> {
-        let Some(books) = self.books.as_mut() else { return Ok(None) };
+        let Some(ledger) = self.ledger.as_mut() else { return Ok(None) };
         // Capped to a time longer than any lease, so that an infinite time can be converted.
         let lasting = micros(lasting.min(1e6));
-        books.take(micros(now), id, lasting).map_err(|retry_after| retry_after as f64 / 1e6)
+        ledger.take(micros(now), id, lasting).map_err(|retry_after| retry_after as f64 / 1e6)
     }
 
     fn take_flight(
@@ -377,10 +377,10 @@
     ) -> Result<(), Rejection> {
         let Some((gauge_index, mut budget)) = ticket.budget else { return Ok(()) };
         let fleet_budget = self.gauge(gauge_index).and_then(|g| g.fleet_budgets.floor);
-        if let (Some(id), Some(books)) = (fleet_budget, &self.books) {
+        if let (Some(id), Some(ledger)) = (fleet_budget, &self.ledger) {
             // First attempts count towards the budget of the planner that makes them; only the floor is
             // divided.
-            budget.floor = u32::try_from(books.floor(micros(now), id)).unwrap_or(u32::MAX);
+            budget.floor = u32::try_from(ledger.floor(micros(now), id)).unwrap_or(u32::MAX);
         }
         let Some(gauge) = self.gauge(gauge_index) else { return Ok(()) };
         if check(&mut gauge.tries, now, budget) {
@@ -391,8 +391,8 @@
 
     /// Returns a job's ticket once the job has its final answer.
     pub fn return_ticket(&mut self, now: Seconds, ticket: Ticket) {
-        if let (Some(books), Some(fleet_use)) = (self.books.as_mut(), ticket.fleet_use) {
-            books.give_back(micros(now), fleet_use);
+        if let (Some(ledger), Some(fleet_use)) = (self.ledger.as_mut(), ticket.fleet_use) {
+            ledger.give_back(micros(now), fleet_use);
         }
         if let Some(gauge) = ticket.flight.and_then(|gauge_index| self.gauge(gauge_index)) {
             gauge.flight.give_back(now - ticket.since);
--- a/src/decide/limits/tests.rs
+++ b/src/decide/limits/tests.rs
@@ -416,6 +416,6 @@
     assert_eq!(rejection.why, Why::Rate);
     limits.admit(41.1, &keyed, 41.5).expect("the second is over");
     let places: Vec<String> =
-        limits.books().expect("a fleet").states(0).iter().map(|s| s.place.to_string()).collect();
+        limits.ledger().expect("a fleet").states(0).iter().map(|s| s.place.to_string()).collect();
     assert_eq!(places.len(), 3, "{places:?}");
 }
--- a/src/decide/silence/checks/tests.rs
+++ b/src/decide/silence/checks/tests.rs
@@ -112,7 +112,7 @@
     fn event(&mut self, now: Seconds, event: Event) {
         match event {
             Event::Received { of_task, is_partial_line } => {
-                self.watch.heard(now, of_task);
+                self.watch.record_received(now, of_task);
                 self.open.partial_line_since = is_partial_line.then_some(now);
             }
             Event::Probe(is_open) => self.open.probe_since = is_open.then_some(now),
@@ -181,7 +181,7 @@
     fn what_is_left_out_would_have_found_nothing(
         events in proptest::collection::vec((0u32..64 * 60, event()), 0..40),
         dials in proptest::collection::vec(
-            prop_oneof![Just(Dial::Up), Just(Dial::Refused), Just(Dial::Silent), Just(Dial::Short)], 1..6),
+            prop_oneof![Just(Dial::Up), Just(Dial::Refused), Just(Dial::Silent), Just(Dial::NoResources)], 1..6),
     ) {
         let mut events = events;
         events.sort_by_key(|(at, _)| *at);
--- a/src/decide/silence/mod.rs
+++ b/src/decide/silence/mod.rs
@@ -54,7 +54,7 @@
     /// No answer arrived.
     Silent,
     /// This planner lacked the resources to dial.
-    Short,
+    NoResources,
 }
 
 /// What to do about a silent connection.
@@ -121,7 +121,7 @@
 
     /// Records that data arrived on the connection; `of_task` if it reports on a task rather than merely
     /// answers a probe.
-    pub fn heard(&mut self, now: Seconds, of_task: bool) {
+    pub fn record_received(&mut self, now: Seconds, of_task: bool) {
         let last_task_report = if of_task { now } else { self.signs.last_task_report };
         (self.last_received, self.signs) =
             (now, MachineActivity { last_task_report, ..MachineActivity::new(now) });
@@ -171,7 +171,7 @@
     /// it would abandon.
     pub fn dialled(&mut self, now: Seconds, dial: Dial, attempt_open: bool) -> Step {
         match dial {
-            Dial::Short => return Step::Wait,
+            Dial::NoResources => return Step::Wait,
             Dial::Silent => {
                 self.signs.failed_dials += 1;
                 // The next check dials again.
--- a/src/decide/silence/tests.rs
+++ b/src/decide/silence/tests.rs
@@ -25,7 +25,7 @@
     while now < 20.0 {
         now += 0.25;
         if answers_probes && now % 2.0 == 0.0 {
-            watch.heard(now, false);
+            watch.record_received(now, false);
         }
         let mut step = watch.check(now, true, 1.0);
         if step == Step::Dial {
@@ -49,7 +49,7 @@
 fn a_lost_task_is_told_in_time() {
     let (max_backoff, dial, check_interval): (Seconds, Seconds, Seconds) = (1.0, 0.25, 0.25);
     for attempt_open in [false, true] {
-        for kind in [Dial::Up, Dial::Refused, Dial::Silent, Dial::Short] {
+        for kind in [Dial::Up, Dial::Refused, Dial::Silent, Dial::NoResources] {
             let (mut at, steps) = simulate(kind, attempt_open, dial, false);
             assert!(at <= LOST_AFTER_S + 2.0 * check_interval, "{kind:?}: {at}");
             if steps.ends_with(&[Step::Swap]) || steps.ends_with(&[Step::Lost]) {
@@ -89,7 +89,7 @@
     assert_eq!(watch.dialled(30.0, Dial::Refused, true), Step::ProvokeReset);
     assert_eq!(watch.check(35.0, true, 0.0), Step::Dial);
     assert_eq!(watch.check(35.5, true, 0.0), Step::Lost);
-    watch.heard(35.6, true);
+    watch.record_received(35.6, true);
     assert_eq!(watch.check(36.0, true, 0.0), Step::Wait, "it reports on a task again");
 }
 
--- a/src/life/config.rs
+++ b/src/life/config.rs
@@ -2,7 +2,7 @@
 
 use crate::document::Faults;
 use crate::wire::hub::Bounds;
-use crate::wire::platform::board::KnownEvents;
+use crate::wire::platform::discovery::KnownEvents;
 use crate::wire::platform::Source;
 use serde::Deserialize;
 use serde_json::Value;
--- a/src/life/mod.rs
+++ b/src/life/mod.rs
@@ -307,13 +307,13 @@
         let socket = UdpSocket::bind(fleet.listen).await.map_err(bind)?;
         let address = socket.local_addr().map_err(bind)?;
         // Two incarnations must never be equal, so the configuration's seed is not used.
-        let life = rand::random();
+        let incarnation = rand::random();
         let (queue, outgoing) = mpsc::channel(peers::QUEUE);
         hub.lock().peers = Some(queue);
-        hub.apply(Input::Join { plan: fleet.plan.clone(), life });
+        hub.apply(Input::Join { plan: fleet.plan.clone(), incarnation });
         let planners = fleet.planners.len();
         tracing::info!(fleet = fleet.name, planners, %address, "receiving peer messages");
-        tokio::spawn(peers::serve(hub.clone(), socket, (fleet, life), outgoing));
+        tokio::spawn(peers::serve(hub.clone(), socket, (fleet, incarnation), outgoing));
         Ok(())
     }
 
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -43,7 +43,7 @@
 use crate::vocabulary;
 use crate::wire::peers::codec;
 use crate::wire::platform::node::{self, cause, SetUp};
-use crate::wire::platform::{board, owner, owners};
+use crate::wire::platform::{discovery, owner, owners};
 use serde_json::Value;
 use std::path::Path;
 use std::sync::Arc;
@@ -185,9 +185,9 @@
     pub fn configure(&mut self, now: Seconds, text: &str, out: &mut Vec<Output>) -> Result<(), Rejected> {
         let operators = self.read(text)?;
         if let (None, Some(fleet)) = (&self.fleet, operators.fleet) {
-            let (plan, life) = (fleet.plan.clone(), self.incarnation());
+            let (plan, incarnation) = (fleet.plan.clone(), self.incarnation());
             self.fleet = Some(fleet);
-            self.apply(now, Input::Join { plan, life }, out);
+            self.apply(now, Input::Join { plan, incarnation }, out);
         }
         let (table, digest) = (operators.limits, operators.digest);
         self.apply(now, Input::Limits { table, digest }, out);
@@ -238,7 +238,7 @@
         kind: Option<ListKind>,
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
-        if let board::Line::Event(event) = board::read(line).map_err(Rejected::List)? {
+        if let discovery::Line::Event(event) = discovery::read(line).map_err(Rejected::List)? {
             let (listed_kind, notices) = event.notices(self.core.vocabulary());
             self.apply(now, Input::List { kind: kind.unwrap_or(listed_kind), notices }, out);
         }
@@ -261,7 +261,7 @@
         let (_, message) = frame.ok_or_else(|| Rejected::Request("the message is incomplete".into()))?;
         let input = match message.kind {
             owner::kind::SET_UP => {
-                owners::request(&mut self.core, now, connection, &message).map_err(rejected)?
+                owners::set_up_input(&mut self.core, now, connection, &message).map_err(rejected)?
             }
             owner::kind::RELEASE => {
                 let cause = message.cause().map_err(rejected)?.unwrap_or(cause::OVER);
@@ -362,7 +362,7 @@
         if datagram.from != from {
             return Err(rejected("it names another planner as its sender".into()));
         }
-        let input = Input::Peer { from: (datagram.from, datagram.life), messages: datagram.messages };
+        let input = Input::Peer { from: (datagram.from, datagram.incarnation), messages: datagram.messages };
         self.apply(now, input, out);
         Ok(())
     }
@@ -383,8 +383,8 @@
     }
 
     /// Number of tasks that run at a machine.
-    pub fn standing_at(&self, machine: MachineId) -> usize {
-        self.core.standing_at(machine)
+    pub fn running_at(&self, machine: MachineId) -> usize {
+        self.core.running_at(machine)
     }
 
     /// Number of jobs and groups that wait for their final answer.
@@ -418,7 +418,9 @@
                 // The offer counts as sent at once. That alone causes no effects.
                 self.core.apply(now, Input::Sent { job, attempt }, &mut Vec::new());
             }
-            Effect::GiveUp { machine, job } => out.push(to_machine(machine, node::stop(job, cause::OVER))),
+            Effect::CancelAttempt { machine, job } => {
+                out.push(to_machine(machine, node::stop(job, cause::OVER)))
+            }
             Effect::Stop { machine, job, cause } => out.push(to_machine(machine, node::stop(job, cause))),
             Effect::SendFence { machine, ask } => {
                 out.push(to_machine(machine, node::check(node::FENCE_FLAG | ask)))
--- a/src/simulation/tests.rs
+++ b/src/simulation/tests.rs
@@ -62,7 +62,7 @@
     planner.answer(101.5, machine, line, &mut out).expect("valid answer");
     let answer = owner::answer(5, "ok").expect("the answer fits into a message");
     assert_eq!(out, [Output::ToClient { connection: 9, bytes: answer }]);
-    assert_eq!((planner.standing_at(machine), planner.pending()), (1, 0));
+    assert_eq!((planner.running_at(machine), planner.pending()), (1, 0));
 }
 
 #[test]
--- a/src/state/alarms.rs
+++ b/src/state/alarms.rs
@@ -54,7 +54,7 @@
                 Alarm::CancelUnconfirmed(job, attempt) => self.cancel_unconfirmed(now, job, attempt, effects),
                 Alarm::QueueTimeout(job, attempt) => {
                     if let Some(machine) = self.queued_at(job, attempt) {
-                        effects.push(Effect::GiveUp { machine, job });
+                        effects.push(Effect::CancelAttempt { machine, job });
                         self.end_attempt(now, job, Outcome::Moot, Reason::Unknown, None, effects);
                     }
                 }
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -225,7 +225,7 @@
         let machine = open_attempt.machine;
         if !open_attempt.sent {
             // An attempt that is still queued never ran. It is removed so that it is not sent later.
-            effects.push(Effect::GiveUp { machine, job: id });
+            effects.push(Effect::CancelAttempt { machine, job: id });
             return self.end_attempt(now, id, Outcome::ConnectFailed, Reason::Unknown, None, effects);
         }
         let Some(ask) = self.cancel_sent_attempt(now, id, effects) else { return };
@@ -248,7 +248,7 @@
         let job = self.jobs.get_mut(&id)?;
         let open_attempt = job.open_attempt.as_mut().filter(|t| t.cancel_fence.is_none())?;
         let (machine, attempt) = (open_attempt.machine, open_attempt.attempt);
-        effects.push(Effect::GiveUp { machine, job: id });
+        effects.push(Effect::CancelAttempt { machine, job: id });
         // Groups keep track of their members' copies themselves.
         if matches!(job.owner, Owner::Group { .. }) {
             self.end_attempt(now, id, Outcome::TimedOut, Reason::Unknown, None, effects);
@@ -392,7 +392,7 @@
             job.may_have_run(&open_attempt);
         }
         if open_attempt.cancel_fence.is_none() {
-            effects.push(Effect::GiveUp { machine: open_attempt.machine, job: id });
+            effects.push(Effect::CancelAttempt { machine: open_attempt.machine, job: id });
         }
         if open_attempt.sent && matches!(job.owner, Owner::Group { .. }) {
             // A cancellation is lost if the connection breaks; a stop order is sent again.
@@ -418,7 +418,7 @@
             if sent {
                 self.mark_unconfirmed(job);
             } else {
-                effects.push(Effect::GiveUp { machine, job });
+                effects.push(Effect::CancelAttempt { machine, job });
             }
             let outcome = if sent { Outcome::Lost } else { Outcome::ConnectFailed };
             self.end_attempt(now, job, outcome, why, None, effects);
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -23,7 +23,7 @@
 impl Core {
     /// The fleet, if the planner is part of one.
     pub fn fleet_view(&mut self, now: Seconds) -> Option<FleetView> {
-        let ledger = self.limits.limits.books()?;
+        let ledger = self.limits.limits.ledger()?;
         let now = micros(now);
         let (fleet, budgets) = (ledger.fleet(), ledger.states(now));
         let remaining_s = |until: Micros| until.saturating_sub(now) as f64 / 1e6;
@@ -44,15 +44,15 @@
         messages: Vec<PeerMessage>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(ledger) = self.limits.limits.books() else { return };
+        let Some(ledger) = self.limits.limits.ledger() else { return };
         let mut out = Vec::new();
-        messages.into_iter().for_each(|message| ledger.hear(micros(now), from, message, &mut out));
+        messages.into_iter().for_each(|message| ledger.receive(micros(now), from, message, &mut out));
         send_messages(out, effects);
     }
 
     /// Carries out what is due in the fleet, and schedules the next call.
     pub(super) fn fleet_tick(&mut self, now: Seconds, effects: &mut Vec<Effect>) {
-        let Some(ledger) = self.limits.limits.books() else { return };
+        let Some(ledger) = self.limits.limits.ledger() else { return };
         let mut out = Vec::new();
         ledger.tick(micros(now), &mut out);
         effects.extend(ledger.lines().into_iter().map(Effect::Log));
@@ -63,7 +63,7 @@
 
     /// Returns the planner's shares of the fleet's budgets, because the planner shuts down.
     pub(super) fn leave_fleet(&mut self) {
-        if let Some(ledger) = self.limits.limits.books() {
+        if let Some(ledger) = self.limits.limits.ledger() {
             ledger.leave();
         }
     }
--- a/src/state/groups/tests.rs
+++ b/src/state/groups/tests.rs
@@ -119,7 +119,7 @@
                     }
                     self.send(machine.0, Message::Launch(job, attempt));
                 }
-                Effect::GiveUp { machine, job } => {
+                Effect::CancelAttempt { machine, job } => {
                     let of = |m: &Message| matches!(m, Message::Launch(j, _) if *j == job);
                     let waiting = &mut self.machines[machine.0 as usize].waiting;
                     let before = waiting.len();
--- a/src/state/interface.rs
+++ b/src/state/interface.rs
@@ -165,7 +165,7 @@
     /// A new operators' file was rejected; the current limits stay in force.
     LimitsRefused { why: Vec<String> },
     /// The planner joins a fleet as this incarnation (process start); sent once, before any other input.
-    Join { plan: Plan, life: Incarnation },
+    Join { plan: Plan, incarnation: Incarnation },
     /// Messages of another planner. The incarnation is a number that differs between its process starts.
     Peer { from: (Member, Incarnation), messages: Vec<PeerMessage> },
     /// Time has advanced; due alarms are handled.
@@ -187,7 +187,7 @@
     },
     /// Cancel an attempt: remove it from the send queue if it is still there, else by a message to the
     /// machine.
-    GiveUp { machine: MachineId, job: RequestId },
+    CancelAttempt { machine: MachineId, job: RequestId },
     /// Stop a running task.
     Stop { machine: MachineId, job: RequestId, cause: u8 },
     /// Send the connection check (fence) numbered `ask` to the machine. Its answer shows that the machine
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -126,7 +126,7 @@
     /// Version of the last change.
     pub version: u64,
     /// The operators' limit that refused a further attempt.
-    pub turned: Option<Rejection>,
+    pub limit_rejection: Option<Rejection>,
     /// What the job holds of the limits' budgets, until its final answer.
     pub(super) ticket: Option<Ticket>,
     /// Whether an attempt was charged to the limits.
@@ -185,8 +185,8 @@
         }
         let (submission, ticket) = match self.apply_limits(now, submission) {
             Ok(taken) => taken,
-            Err(turned) => {
-                let (why, retry_in_s) = (Refusal::Limit(turned.why), turned.retry_in_s);
+            Err(limit_rejection) => {
+                let (why, retry_in_s) = (Refusal::Limit(limit_rejection.why), limit_rejection.retry_in_s);
                 return effects.push(Effect::Refused { owner, job: id, why, retry_in_s });
             }
         };
@@ -249,7 +249,7 @@
             may_have_run_location: may_have_run_location.filter(|_| may_have_run_since.is_some()),
             own_attempt_may_have_run: false,
             version: 0,
-            turned: None,
+            limit_rejection: None,
             ticket: None,
             charged: false,
             open_attempt: None,
@@ -331,9 +331,10 @@
         let late = now >= job.task.deadline - NEAR_DEADLINE_S;
         let phase = match retry_in_s {
             Some(retry_in_s) => {
-                let retry_in_s = job.turned.map_or(retry_in_s, |turned| turned.retry_in_s);
+                let retry_in_s =
+                    job.limit_rejection.map_or(retry_in_s, |limit_rejection| limit_rejection.retry_in_s);
                 job.retry_in_s = retry_in_s;
-                let limit = job.turned.map(|turned| Refusal::Limit(turned.why));
+                let limit = job.limit_rejection.map(|limit_rejection| Refusal::Limit(limit_rejection.why));
                 let why = limit.unwrap_or(if late { Refusal::Deadline } else { Refusal::NoRoom });
                 effects.push(Effect::Refused { owner, job: id, why, retry_in_s });
                 if late && limit.is_none() {
--- a/src/state/limits.rs
+++ b/src/state/limits.rs
@@ -113,8 +113,8 @@
             self.limits.limits.count_first_attempt(now, ticket);
             return true;
         }
-        job.turned = self.limits.limits.take_retry(now, ticket).err();
-        job.turned.is_none()
+        job.limit_rejection = self.limits.limits.take_retry(now, ticket).err();
+        job.limit_rejection.is_none()
     }
 
     /// Whether the limits allow no further attempt of a pending job.
@@ -124,8 +124,8 @@
             return true;
         }
         let Some(ticket) = &job.ticket else { return false };
-        job.turned = self.limits.limits.can_retry(now, ticket).err();
-        job.turned.is_some()
+        job.limit_rejection = self.limits.limits.can_retry(now, ticket).err();
+        job.limit_rejection.is_some()
     }
 }
 
--- a/src/state/limits/tests.rs
+++ b/src/state/limits/tests.rs
@@ -112,7 +112,7 @@
                 }
                 (record.open, record.sent, record.sent_at) = (Some((*machine, *attempt)), false, now);
             }
-            Effect::GiveUp { job, .. } => self.end_attempt(*job, true),
+            Effect::CancelAttempt { job, .. } => self.end_attempt(*job, true),
             Effect::Placed { job, .. } | Effect::Failed { job, .. } | Effect::Refused { job, .. } => {
                 let record = self.jobs.get_mut(job).expect("a submitted job");
                 record.answers += 1;
--- a/src/state/machine_table/tests.rs
+++ b/src/state/machine_table/tests.rs
@@ -121,7 +121,7 @@
     adopt(&mut core, 2, 7);
     core.apply(100.0, Input::Cancel { job: RequestId(2), cause: 0 }, &mut Vec::new());
     list(&mut core, ListKind::Changes, vec![notice(7, 0, Standing::Ready, 0)]);
-    assert_eq!(core.standing_at(MachineId(7)), 1);
+    assert_eq!(core.running_at(MachineId(7)), 1);
     assert_eq!(core.any_task_at(MachineId(7)), Some(RequestId(1)));
     assert!(core.nodes.unlisted.is_empty(), "no entry stays for a listed machine");
 }
--- a/src/state/machines.rs
+++ b/src/state/machines.rs
@@ -65,7 +65,7 @@
     /// Cancels the attempts that are queued for a machine, so that the placer decides again.
     fn cancel_queued(&mut self, now: Seconds, machine: MachineId, effects: &mut Vec<Effect>) {
         for job in self.open_attempts_at(machine, |t| !t.sent) {
-            effects.push(Effect::GiveUp { machine, job });
+            effects.push(Effect::CancelAttempt { machine, job });
             self.end_attempt(now, job, Outcome::Moot, Reason::Unknown, None, effects);
         }
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -178,7 +178,7 @@
     }
 
     /// Number of tasks that run at a machine.
-    pub fn standing_at(&self, machine: MachineId) -> usize {
+    pub fn running_at(&self, machine: MachineId) -> usize {
         self.nodes.get(machine).map_or(0, |n| n.running.len())
     }
 
@@ -240,7 +240,7 @@
             Input::SubmitGroup(ask) => self.submit_group(now, ask, effects),
             Input::CancelGroup { group } => self.on_group_event(now, group, groups::Event::Cancel, effects),
             Input::Draining { until } => self.shut_down(now, until, effects),
-            Input::Join { plan, life } => self.join(now, &plan, life),
+            Input::Join { plan, incarnation } => self.join(now, &plan, incarnation),
             Input::Peer { from, messages } => self.handle_peer_messages(now, from, messages, effects),
             Input::LinkUp { machine } => self.resend_cuts(machine, effects),
             Input::Ended { machine, job, before, after, why, report } => {
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -134,7 +134,7 @@
     let mut bench = Bench::new("once");
     let at = launched(&bench.submit(1, None)).expect("a launch");
     let effects = bench.list(&[(at.0, Standing::Draining)]);
-    assert!(effects.contains(&Effect::GiveUp { machine: at, job: RequestId(1) }));
+    assert!(effects.contains(&Effect::CancelAttempt { machine: at, job: RequestId(1) }));
     assert_eq!(launched(&effects), Some(MachineId(1 - at.0)));
 }
 
@@ -168,7 +168,7 @@
     assert_eq!(bench.core.pending(), 0);
     let at = launched(&bench.submit(2, None)).expect("a launch");
     let gone = bench.apply_input(Input::OwnerGone { link: 1 });
-    assert!(gone.contains(&Effect::GiveUp { machine: at, job: RequestId(2) }));
+    assert!(gone.contains(&Effect::CancelAttempt { machine: at, job: RequestId(2) }));
     assert_eq!(answers(&gone) + answers(&bench.tick_at(120.0)), 0);
 }
 
@@ -340,7 +340,7 @@
             .map(|tenth| bench.tick_at(100.0 + f64::from(tenth) / 10.0))
             .find(|effects| !effects.is_empty())
             .expect("a time-out before the deadline");
-        assert!(timed_out.contains(&Effect::GiveUp { machine: at, job: RequestId(1) }));
+        assert!(timed_out.contains(&Effect::CancelAttempt { machine: at, job: RequestId(1) }));
         assert_eq!(
             (launched(&timed_out), answers(&timed_out)),
             (None, 0),
@@ -542,7 +542,7 @@
 
 fn cancelled_at(effects: &[Effect], job: u64) -> Option<MachineId> {
     let of = |e: &Effect| match e {
-        Effect::GiveUp { machine, job: id } if id.0 == job => Some(*machine),
+        Effect::CancelAttempt { machine, job: id } if id.0 == job => Some(*machine),
         _ => None,
     };
     effects.iter().find_map(of)
@@ -562,7 +562,7 @@
     let ended = bench.apply_input(Input::OwnerFaulty { link: 1 });
     assert_eq!(answers(&ended), 2);
     assert!(cancelled_at(&ended, 2).is_some() && cancelled_at(&ended, 3).is_some());
-    assert_eq!((bench.core.pending(), bench.core.standing_at(at)), (0, 1));
+    assert_eq!((bench.core.pending(), bench.core.running_at(at)), (0, 1));
 }
 
 /// Guards rule 2: a further attempt that is still queued when the repeat window ends is cancelled at that
--- a/src/state/views.rs
+++ b/src/state/views.rs
@@ -14,7 +14,7 @@
     pub deadline: Seconds,
     pub last: Option<(Outcome, Reason)>,
     /// The operators' limit that refused a further attempt.
-    pub turned: Option<Rejection>,
+    pub limit_rejection: Option<Rejection>,
     pub retry_in_s: Seconds,
     pub version: u64,
 }
@@ -67,7 +67,7 @@
             attempts: job.attempts,
             deadline: job.task.deadline,
             last: job.last,
-            turned: job.turned,
+            limit_rejection: job.limit_rejection,
             retry_in_s: job.retry_in_s,
             version: job.version,
         }
--- a/src/wire/hub.rs
+++ b/src/wire/hub.rs
@@ -83,7 +83,7 @@
     pub draining: bool,
     /// Why the last job from the REST API was rejected without a record of it, and after how many seconds to
     /// retry. The API takes the value while it still holds the lock under which it submitted the job.
-    pub turned_away: Option<(Refusal, Seconds)>,
+    pub last_rejection: Option<(Refusal, Seconds)>,
     /// The queue of messages to other planners; none where the planner is in no fleet.
     pub peers: Option<mpsc::Sender<(Member, Vec<PeerMessage>)>>,
     /// Datagrams exchanged with other planners.
@@ -134,7 +134,7 @@
             next_link_id: 0,
             unreachable: BTreeSet::new(),
             draining: false,
-            turned_away: None,
+            last_rejection: None,
             peers: None,
             peer_counts: DatagramCounts::default(),
             counts: Counts::default(),
@@ -285,7 +285,7 @@
                 let set_up = SetUp { job, attempt, until: now + left_s, fence, spec };
                 self.write_set_up(now, machine, set_up);
             }
-            Effect::GiveUp { machine, job } => {
+            Effect::CancelAttempt { machine, job } => {
                 let was_held = self.held.withdraw(machine, job);
                 let Some(link) = self.machine_links.get_mut(&machine) else { return };
                 if !was_held && !link.outbox.withdraw(job) {
@@ -323,7 +323,7 @@
                 };
                 // A job that was rejected on arrival has no record that its client could query.
                 if owner == Owner::Rest && self.core.job(job).is_none() {
-                    self.turned_away = Some((why, retry_in_s));
+                    self.last_rejection = Some((why, retry_in_s));
                 }
                 let retry_after = Some((retry_in_s * 1e3).round().max(0.0) as u64);
                 self.write_to_owner(now, owner, owner::release(job.0, cause, retry_after), false);
--- a/src/wire/hub/machine_connections.rs
+++ b/src/wire/hub/machine_connections.rs
@@ -126,7 +126,7 @@
         Open {
             probe_since: self.machine_links.get(&machine).and_then(|l| l.probe),
             partial_line_since,
-            holds_tasks: self.core.standing_at(machine) > 0,
+            holds_tasks: self.core.running_at(machine) > 0,
             is_short: self.slots.is_short(),
         }
     }
@@ -167,7 +167,7 @@
     pub fn need(&self, machine: MachineId) -> Need {
         if self.machine_links.get(&machine).is_some_and(|l| !l.outbox.is_empty()) {
             Need::Now
-        } else if self.core.standing_at(machine) > 0 {
+        } else if self.core.running_at(machine) > 0 {
             Need::Visit
         } else {
             Need::Spare
--- a/src/wire/peers/codec.rs
+++ b/src/wire/peers/codec.rs
@@ -1,7 +1,7 @@
 //! Encodes peer messages as datagrams, and decodes them.
 //!
 //! A datagram is `version:1 check:8 from:2 life:8`, then messages, each `kind:1` and its fields. The numbers
-//! after the colons are lengths in bytes; integers are big-endian. `life` is the sender's incarnation. The
+//! after the colons are lengths in bytes; integers are big-endian. `incarnation` is the sender's incarnation. The
 //! check is a keyed digest of all bytes after it. Its key is derived from the fleet's name, planners, voters
 //! and terms, so that corrupt datagrams and those of another fleet or configuration are detected. It guards
 //! against mistakes, not against attackers.
@@ -61,7 +61,7 @@
     /// The sender.
     pub from: Member,
     /// The sender's incarnation.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The messages, in their order.
     pub messages: Vec<PeerMessage>,
 }
@@ -90,7 +90,7 @@
                 [(vote.given, flag::GIVEN), (vote.wanted, flag::WANTED), (vote.free.is_some(), flag::FREE)];
             bytes.push(kind::VOTE);
             bytes.extend(vote.slot.to_be_bytes());
-            bytes.extend(vote.life.to_be_bytes());
+            bytes.extend(vote.incarnation.to_be_bytes());
             bytes.extend(vote.number.to_be_bytes());
             bytes.push(flags.iter().filter(|(is, _)| *is).map(|(_, bit)| bit).sum());
             bytes.extend(vote.free.unwrap_or_default().to_be_bytes());
@@ -106,7 +106,7 @@
         PeerMessage::Grant(budget, grant) => {
             bytes.push(kind::GRANT);
             bytes.extend(budget.to_be_bytes());
-            bytes.extend(grant.life.to_be_bytes());
+            bytes.extend(grant.incarnation.to_be_bytes());
             bytes.extend(grant.number.to_be_bytes());
             for figure in [grant.units, grant.span, grant.total, grant.hold] {
                 bytes.extend(saturated_u32(figure));
@@ -116,14 +116,14 @@
 }
 
 /// Encodes messages as datagrams, in their order, as many to each as fit.
-pub fn write(digest: u64, from: Member, life: Incarnation, messages: &[PeerMessage]) -> Vec<Vec<u8>> {
+pub fn write(digest: u64, from: Member, incarnation: Incarnation, messages: &[PeerMessage]) -> Vec<Vec<u8>> {
     let mut datagrams = Vec::new();
     let mut body: Vec<u8> = Vec::new();
     let mut finish = |body: &mut Vec<u8>| {
         if body.is_empty() {
             return;
         }
-        let rest = [&from.to_be_bytes()[..], &life.to_be_bytes(), body].concat();
+        let rest = [&from.to_be_bytes()[..], &incarnation.to_be_bytes(), body].concat();
         datagrams.push([&[VERSION][..], &check(digest, &rest).to_be_bytes(), &rest].concat());
         body.clear();
     };
@@ -152,11 +152,12 @@
 }
 
 fn vote(input: &mut &[u8]) -> Read<'static, PeerMessage> {
-    let (slot, life, number, flags, free) = (be_u16, be_u64, be_u64, be_u8, be_u16).parse_next(input)?;
+    let (slot, incarnation, number, flags, free) =
+        (be_u16, be_u64, be_u64, be_u8, be_u16).parse_next(input)?;
     let (given, wanted) = (flags & flag::GIVEN > 0, flags & flag::WANTED > 0);
     Ok(PeerMessage::Vote(Vote {
         slot,
-        life,
+        incarnation,
         number,
         given,
         wanted,
@@ -164,19 +165,19 @@
     }))
 }
 
-fn ask(life: Incarnation) -> impl FnMut(&mut &[u8]) -> Read<'static, PeerMessage> {
+fn ask(incarnation: Incarnation) -> impl FnMut(&mut &[u8]) -> Read<'static, PeerMessage> {
     move |input: &mut &[u8]| {
         let (budget, number) = (be_u64, be_u32).parse_next(input)?;
         let (wants, holds, total, hold) =
             (u32_as_u64, u32_as_u64, u32_as_u64, u32_as_u64).parse_next(input)?;
-        Ok(PeerMessage::Ask(budget, Ask { life, number, wants, holds, total, hold }))
+        Ok(PeerMessage::Ask(budget, Ask { incarnation, number, wants, holds, total, hold }))
     }
 }
 
 fn grant(input: &mut &[u8]) -> Read<'static, PeerMessage> {
-    let (budget, life, number) = (be_u64, be_u64, be_u32).parse_next(input)?;
+    let (budget, incarnation, number) = (be_u64, be_u64, be_u32).parse_next(input)?;
     let (units, span, total, hold) = (u32_as_u64, u32_as_u64, u32_as_u64, u32_as_u64).parse_next(input)?;
-    Ok(PeerMessage::Grant(budget, Grant { life, number, units, span, total, hold }))
+    Ok(PeerMessage::Grant(budget, Grant { incarnation, number, units, span, total, hold }))
 }
 
 /// Decodes a datagram.
@@ -197,12 +198,12 @@
     }
     let malformed = |_| Malformed::Messages;
     let mut input = &bytes[9..];
-    let (from, life): (Member, Incarnation) =
+    let (from, incarnation): (Member, Incarnation) =
         (be_u16::<_, ErrMode<ContextError>>, be_u64).parse_next(&mut input).map_err(malformed)?;
     let message = dispatch! {be_u8;
         kind::CLAIM => claim,
         kind::VOTE => vote,
-        kind::ASK => ask(life),
+        kind::ASK => ask(incarnation),
         kind::GRANT => grant,
         _ => fail::<_, PeerMessage, _>,
     };
@@ -210,7 +211,7 @@
         .map(|(messages, ())| messages)
         .parse(input)
         .map_err(|_| Malformed::Messages)?;
-    Ok(Datagram { from, life, messages })
+    Ok(Datagram { from, incarnation, messages })
 }
 
 #[cfg(test)]
--- a/src/wire/peers/codec/tests.rs
+++ b/src/wire/peers/codec/tests.rs
@@ -2,11 +2,11 @@
 use rand::{Rng, SeedableRng};
 
 fn messages() -> Vec<PeerMessage> {
-    let (life, number) = (u64::MAX - 7, 9);
+    let (incarnation, number) = (u64::MAX - 7, 9);
     let claim = Claim { slot: 1023, number, keep: true };
-    let vote = Vote { slot: 3, life, number, given: true, wanted: false, free: Some(0) };
-    let ask = Ask { life: 5, number: 2, wants: 70, holds: 3, total: 100, hold: 1_500_000 };
-    let grant = Grant { life, number: 2, units: 12, span: 2_900_000, total: 100, hold: 0 };
+    let vote = Vote { slot: 3, incarnation, number, given: true, wanted: false, free: Some(0) };
+    let ask = Ask { incarnation: 5, number: 2, wants: 70, holds: 3, total: 100, hold: 1_500_000 };
+    let grant = Grant { incarnation, number: 2, units: 12, span: 2_900_000, total: 100, hold: 0 };
     vec![
         PeerMessage::Claim(claim),
         PeerMessage::Vote(vote),
@@ -23,7 +23,7 @@
     assert!(datagrams.len() > 8 && datagrams.iter().all(|d| d.len() <= MAX_BYTES));
     let read = datagrams.iter().flat_map(|d| read(1, d).expect("a valid datagram").messages);
     assert_eq!(read.collect::<Vec<_>>(), many);
-    let too_large = Ask { life: 5, number: 1, wants: u64::MAX, holds: 0, total: 1, hold: 0 };
+    let too_large = Ask { incarnation: 5, number: 1, wants: u64::MAX, holds: 0, total: 1, hold: 0 };
     let datagram = read_one(&write(1, 4, 5, &[PeerMessage::Ask(1, too_large)])[0]);
     assert_eq!(datagram.messages, [PeerMessage::Ask(1, Ask { wants: u64::from(u32::MAX), ..too_large })]);
 }
--- a/src/wire/peers/mod.rs
+++ b/src/wire/peers/mod.rs
@@ -26,7 +26,7 @@
 pub async fn serve(
     hub: Arc<Hub>,
     socket: UdpSocket,
-    (settings, life): (FleetSettings, Incarnation),
+    (settings, incarnation): (FleetSettings, Incarnation),
     mut queue: Receiver<(Member, Vec<PeerMessage>)>,
 ) {
     let digest = settings.digest();
@@ -41,7 +41,7 @@
             outgoing = queue.recv() => {
                 let Some((to, messages)) = outgoing else { return };
                 let Some((_, address)) = settings.planners.get(usize::from(to)) else { continue };
-                for datagram in codec::write(digest, own, life, &messages) {
+                for datagram in codec::write(digest, own, incarnation, &messages) {
                     // If the buffer is full or the other planner is down, the datagram counts as lost.
                     if socket.try_send_to(&datagram, *address).is_ok() {
                         let mut inner = hub.lock();
@@ -73,7 +73,7 @@
         Ok(datagram) if from == Some(datagram.from) => {
             hub.apply_in(
                 &mut inner,
-                Input::Peer { from: (datagram.from, datagram.life), messages: datagram.messages },
+                Input::Peer { from: (datagram.from, datagram.incarnation), messages: datagram.messages },
             );
         }
         Ok(_) => inner.peer_counts.unlisted += 1,
--- a/src/wire/platform/machine_links.rs
+++ b/src/wire/platform/machine_links.rs
@@ -370,7 +370,7 @@
                 }
                 dialled = background_dial.ended() => {
                     let dial = dialled.kind();
-                    if dial != Dial::Short {
+                    if dial != Dial::NoResources {
                         self.record_unreachable(dial == Dial::Silent);
                     }
                     let is_open = self.hub.lock().has_open_work_at(self.machine);
@@ -464,7 +464,7 @@
     ) -> io::Result<()> {
         self.hub.lock().slots.used(self.hub.now(), self.machine);
         let about_task = self.process_lines(buffer)?;
-        watch.heard(self.hub.now(), about_task);
+        watch.record_received(self.hub.now(), about_task);
         *partial_line_since = (!buffer.is_empty()).then(|| self.hub.now());
         Ok(())
     }
--- a/src/wire/platform/machine_links/dial.rs
+++ b/src/wire/platform/machine_links/dial.rs
@@ -53,7 +53,7 @@
             Dialled::Up(_) => Dial::Up,
             Dialled::Refused => Dial::Refused,
             Dialled::Silent => Dial::Silent,
-            Dialled::NoResources => Dial::Short,
+            Dialled::NoResources => Dial::NoResources,
         }
     }
 }
--- a/src/wire/platform/machine_list.rs
+++ b/src/wire/platform/machine_list.rs
@@ -1,7 +1,7 @@
 //! Follows the machine list of the discovery service (the notice board of the `board` setting): connects,
 //! resumes after the last known event, and reconnects after every failure.
 
-use super::board::{self, Event, KnownEvents, Line, MAX_LINE_BYTES};
+use super::discovery::{self, Event, KnownEvents, Line, MAX_LINE_BYTES};
 use super::node::take_line;
 use crate::placer::ListKind;
 use crate::wire::errors::is_transient;
@@ -68,7 +68,7 @@
 async fn watch(hub: &Hub, address: &str, rev: &mut u64) -> io::Result<()> {
     let stream = timeout(DIAL_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
-    timeout(SILENCE_TIMEOUT, write_all(&stream, &board::watch(*rev))).await??;
+    timeout(SILENCE_TIMEOUT, write_all(&stream, &discovery::watch(*rev))).await??;
     let (mut buffer, mut is_live) = (BytesMut::new(), false);
     // Bytes of an incomplete line count as a sign of life only once there are SIGN_OF_LIFE_BYTES of them.
     let (mut silent_at, mut bytes_since_sign) = (Instant::now() + SILENCE_TIMEOUT, 0);
@@ -84,11 +84,12 @@
         loop {
             let too_long =
                 |e| io::Error::new(io::ErrorKind::InvalidData, format!("{e}: over {MAX_LINE_BYTES} bytes"));
-            let Some((length, line)) = take_line(&buffer, board::MAX_LINE_BYTES).map_err(too_long)? else {
+            let Some((length, line)) = take_line(&buffer, discovery::MAX_LINE_BYTES).map_err(too_long)?
+            else {
                 break;
             };
             (silent_at, bytes_since_sign) = (Instant::now() + SILENCE_TIMEOUT, 0);
-            match board::read(line) {
+            match discovery::read(line) {
                 Ok(Line::Event(event)) if event.rev > *rev => {
                     *rev = event.rev;
                     apply_event(hub, &event, if is_live { EventTiming::Live } else { EventTiming::Earlier });
--- a/src/wire/platform/mod.rs
+++ b/src/wire/platform/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Nothing here sends datagrams to peers: by design each planner counts only its own placements.
 
-pub mod board;
+pub mod discovery;
 mod machine_links;
 mod machine_list;
 pub mod node;
--- a/src/wire/platform/owners.rs
+++ b/src/wire/platform/owners.rs
@@ -287,7 +287,7 @@
     match message.kind {
         kind::SET_UP => {
             let earliest_arrival = hub.earliest_arrival(inner, id);
-            let input = request(&mut inner.core, earliest_arrival, id, message)?;
+            let input = set_up_input(&mut inner.core, earliest_arrival, id, message)?;
             if let Some(link) = inner.owners.get_mut(&id) {
                 link.used = now;
             }
@@ -308,7 +308,7 @@
 }
 
 /// Turns a set-up into an input of the core, or returns why it is invalid.
-pub(crate) fn request(
+pub(crate) fn set_up_input(
     core: &mut Core,
     now: Seconds,
     link: u64,
--- a/src/wire/platform/tests.rs
+++ b/src/wire/platform/tests.rs
@@ -1,4 +1,4 @@
-use super::{board, node, owner};
+use super::{discovery, node, owner};
 use crate::wire::import::access_log;
 use rand::{Rng, SeedableRng};
 
@@ -27,7 +27,7 @@
         let valid = [
             matches!(set_up, Ok(Some((_, true)))),
             node::read(&bytes).is_ok(),
-            board::read(&bytes).is_ok(),
+            discovery::read(&bytes).is_ok(),
             !access_log::read(&bytes).0.is_empty(),
         ];
         read += valid.iter().filter(|w| **w).count();
--- a/src/wire/rest/jobs.rs
+++ b/src/wire/rest/jobs.rs
@@ -160,9 +160,9 @@
         return Err(Problem::bad("the description is too long for a machine's message"));
     }
     let submission = JobSubmission { job: id, owner: Owner::Rest, spec: Arc::new(spec), task };
-    inner.turned_away = None;
+    inner.last_rejection = None;
     api.hub.apply_in(&mut inner, Input::Submit(submission));
-    match inner.turned_away.take() {
+    match inner.last_rejection.take() {
         None => Ok((id, false)),
         Some((Refusal::Limit(why), retry_in_s)) => Err(Problem::limited(objects::limit(why), retry_in_s)),
         Some((_, retry_in_s)) => {
@@ -186,7 +186,7 @@
 /// The response for a job's phase: every way in which a job can end has its own status.
 fn answer(api: &Api, view: &JobView, created_status: u16) -> Answer {
     let object = objects::job(api, view);
-    let limit_reason = view.turned.map(|turned| objects::limit(turned.why));
+    let limit_reason = view.limit_rejection.map(|limit_rejection| objects::limit(limit_rejection.why));
     let detail = limit_reason.or(objects::reason(view.last)).unwrap_or("no machine could take it");
     let status = match view.phase {
         Phase::Pending => 202,
--- a/src/wire/rest/objects.rs
+++ b/src/wire/rest/objects.rs
@@ -120,7 +120,7 @@
     if let Some(machine) = &view.machine {
         job["status"]["machine"] = json!(machine);
     }
-    let limit_reason = view.turned.map(|turned| limit(turned.why));
+    let limit_reason = view.limit_rejection.map(|limit_rejection| limit(limit_rejection.why));
     if let Some(reason) = limit_reason.or(reason(view.last)) {
         job["status"]["reason"] = json!(reason);
     }
--- a/src/wire/trail.rs
+++ b/src/wire/trail.rs
@@ -73,7 +73,7 @@
         Effect::Launch { machine, job, attempt, left_s, .. } => {
             tracing::debug!(target: TARGET, job = uid(*job), machine = name(machine), attempt, left_s, "offered");
         }
-        Effect::GiveUp { machine, job } => {
+        Effect::CancelAttempt { machine, job } => {
             tracing::debug!(target: TARGET, job = uid(*job), machine = name(machine), "taken back");
         }
         Effect::AttemptOver { job, machine, attempt, outcome, why, unheard } => {
