--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// Number of offers.
-    pub asks: usize,
+    pub offers: usize,
     /// Number of jobs that were offered at least once.
     pub jobs: usize,
     /// Highest number of offers of one job.
@@ -71,8 +71,8 @@
             let (at, job) = (entry.at, entry.job);
             let of = (job, entry.connection);
             match &entry.what {
-                What::Ask { class, key, left_ms, .. } => {
-                    verdict.asks += 1;
+                What::Offered { class, key, left_ms, .. } => {
+                    verdict.offers += 1;
                     if let Some(repeated) = open.remove(&of) {
                         verdict.broken.push(format!(
                             "{}: job {job:016x} was offered twice on one connection",
@@ -99,7 +99,7 @@
                         close(open.remove(&of), at, (true, false), of.0);
                     }
                 }
-                What::Dropped | What::RunsUntold | What::Ended | What::Cut => {}
+                What::Dropped | What::RunsUnreported | What::Ended | What::Terminated => {}
             }
         }
         for ((job, _), attempt) in open {
@@ -136,8 +136,8 @@
         }
         check_overlap(of_job.iter(), &format!("job {job:016x}"), allowed, &mut verdict.broken);
     }
-    for (key, places) in by_key {
-        let mut all: Vec<&Attempt> = places.iter().map(|(job, at)| &attempts[job][*at]).collect();
+    for (key, positions) in by_key {
+        let mut all: Vec<&Attempt> = positions.iter().map(|(job, at)| &attempts[job][*at]).collect();
         all.sort_by_key(|a| a.from);
         check_overlap(all.into_iter(), &format!("key {key}"), allowed, &mut verdict.broken);
     }
@@ -190,34 +190,37 @@
     }
     let mut all: BTreeMap<u64, (usize, Vec<Copy>)> = BTreeMap::new();
     for ledger in ledgers {
-        let mut places: BTreeMap<u64, (u64, usize, usize)> = BTreeMap::new();
+        let mut member_of_job: BTreeMap<u64, (u64, usize, usize)> = BTreeMap::new();
         let mut running: BTreeMap<u64, Duration> = BTreeMap::new();
         let mut stopped_at: BTreeMap<u64, Duration> = BTreeMap::new();
         let mut record_copy =
-            |job: u64, from: Duration, until: Duration, places: &BTreeMap<u64, (u64, usize, usize)>| {
-                if let Some(&(group, member, members)) = places.get(&job) {
+            |job: u64,
+             from: Duration,
+             until: Duration,
+             member_of_job: &BTreeMap<u64, (u64, usize, usize)>| {
+                if let Some(&(group, member, members)) = member_of_job.get(&job) {
                     let entry = all.entry(group).or_insert_with(|| (members, Vec::new()));
                     entry.1.push(Copy { member, from, until });
                 }
             };
         for entry in &ledger.entries {
             match &entry.what {
-                What::Ask { body, .. } => {
-                    if let Some(place) = parse_member(body) {
-                        places.insert(entry.job, place);
+                What::Offered { body, .. } => {
+                    if let Some(member_of) = parse_member(body) {
+                        member_of_job.insert(entry.job, member_of);
                     }
                     stopped_at.remove(&entry.job);
                 }
-                What::Runs | What::RunsUntold => {
+                What::Runs | What::RunsUnreported => {
                     running.insert(entry.job, entry.at);
                     if let Some(at) = stopped_at.get(&entry.job) {
                         running.remove(&entry.job);
-                        record_copy(entry.job, entry.at, entry.at.max(*at), &places);
+                        record_copy(entry.job, entry.at, entry.at.max(*at), &member_of_job);
                     }
                 }
-                What::Stopped | What::Ended | What::Lost | What::Cut => {
+                What::Stopped | What::Ended | What::Lost | What::Terminated => {
                     if let Some(from) = running.remove(&entry.job) {
-                        record_copy(entry.job, from, entry.at, &places);
+                        record_copy(entry.job, from, entry.at, &member_of_job);
                     }
                     if entry.what == What::Stopped {
                         stopped_at.insert(entry.job, entry.at);
@@ -228,7 +231,7 @@
         }
         let end = ledger.entries.last().map_or(Duration::ZERO, |e| e.at);
         for (job, from) in running {
-            record_copy(job, from, end, &places);
+            record_copy(job, from, end, &member_of_job);
         }
     }
     let mut verdict = GroupVerdict { groups: all.len(), ..GroupVerdict::default() };
--- a/lab/src/capacity/ask_rate.rs
+++ b/lab/src/capacity/ask_rate.rs
@@ -32,9 +32,9 @@
     let mut figures = Figures::default();
     let rates = if options.short { SHORT_RATES } else { RATES };
     for number in 1..=options.repeats {
-        let mut scene = BenchSetup::of(MACHINES);
-        scene.plan.life_ms = LIFE_MS;
-        let bench = Bench::start(options, scene)?;
+        let mut setup = BenchSetup::of(MACHINES);
+        setup.plan.life_ms = LIFE_MS;
+        let bench = Bench::start(options, setup)?;
         bench.wait_for_connections()?;
         let share = bench.rest()?.share();
         bench.ask(50.0, Duration::from_secs(1), 0)?;
--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -87,7 +87,7 @@
     pub planner: Planner,
     /// Its machines.
     pub hollow: HollowMachines,
-    scene: BenchSetup,
+    setup: BenchSetup,
 }
 
 /// Measurements of a planner's start.
@@ -162,12 +162,12 @@
 impl LoadResult {
     /// Milliseconds of processor time per request, including the planner's usage at rest.
     pub fn processor_ms_per_request(&self) -> f64 {
-        self.window.processor.as_secs_f64() * 1e3 / self.tally.asked as f64
+        self.window.processor.as_secs_f64() * 1e3 / self.tally.requests as f64
     }
 
     /// Milliseconds of processor time per request beyond the usage at rest, which is `rest_share` of a core.
     pub fn processor_ms_per_request_beyond_rest(&self, rest_share: f64) -> f64 {
-        self.processor_ms_per_request() - rest_share * self.window.seconds * 1e3 / self.tally.asked as f64
+        self.processor_ms_per_request() - rest_share * self.window.seconds * 1e3 / self.tally.requests as f64
     }
 
     /// The quantile `share` of the answer time of placed requests, in milliseconds.
@@ -198,11 +198,11 @@
     ///
     /// # Errors
     /// If one of the processes cannot be started.
-    pub fn start(options: &Options, scene: BenchSetup) -> io::Result<Bench> {
-        let hollow = HollowMachines::start(&options.lab_program, &scene.plan)?;
-        let config = scene.configuration(&hollow);
-        let planner = Planner::start(&options.program, &config, scene.operators.as_deref())?;
-        Ok(Bench { planner, hollow, scene })
+    pub fn start(options: &Options, setup: BenchSetup) -> io::Result<Bench> {
+        let hollow = HollowMachines::start(&options.lab_program, &setup.plan)?;
+        let config = setup.configuration(&hollow);
+        let planner = Planner::start(&options.program, &config, setup.operators.as_deref())?;
+        Ok(Bench { planner, hollow, setup })
     }
 
     /// Waits until the planner has connected to all machines or stops connecting to further ones.
@@ -217,7 +217,7 @@
                 (last, reached) = (Instant::now(), counts.reached);
             }
             let is_timed_out = last.elapsed() > CONNECT_STALL_TIMEOUT || from.elapsed() > CONNECT_TIMEOUT;
-            if reached >= self.scene.machines as u64 || is_timed_out {
+            if reached >= self.setup.machines as u64 || is_timed_out {
                 break counts;
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -267,9 +267,9 @@
             keyed: 0.3,
             deadline: Duration::from_secs(5),
             services: (0..SERVICES).map(|n| format!("search-{n}")).collect(),
-            seed: self.scene.seed,
+            seed: self.setup.seed,
             room: REQUEST_ROOM,
-            patience: Duration::from_secs(3),
+            answer_wait: Duration::from_secs(3),
             ids_after,
             release_wait: Duration::ZERO,
         };
--- a/lab/src/capacity/compare.rs
+++ b/lab/src/capacity/compare.rs
@@ -119,9 +119,9 @@
     setting: Setting,
 ) -> io::Result<Vec<(&'static str, &'static str, f64)>> {
     let plan = Plan { spare: SPARE_SHARE, life_ms: TASK_DURATION_MS, ..Plan::default() };
-    let scene =
+    let setup =
         BenchSetup { plan, listed: setting.listed, sockets: setting.sockets, ..BenchSetup::of(machines) };
-    let bench = Bench::start(options, scene)?;
+    let bench = Bench::start(options, setup)?;
     let started = bench.wait_for_connections()?;
     let rest = bench.rest()?;
     let load = bench.ask(REQUESTS_PER_S, LOAD_DURATION, 1 << 32)?;
--- a/lab/src/capacity/config_rate.rs
+++ b/lab/src/capacity/config_rate.rs
@@ -72,8 +72,8 @@
 /// If a process cannot be started or has ended, or a file does not come into force.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let mut figures = Figures::default();
-    let scene = BenchSetup { operators: Some(file(ROUTES, 0)), ..BenchSetup::of(MACHINES) };
-    let bench = Bench::start(options, scene)?;
+    let setup = BenchSetup { operators: Some(file(ROUTES, 0)), ..BenchSetup::of(MACHINES) };
+    let bench = Bench::start(options, setup)?;
     bench.wait_for_connections()?;
     let rest_share = bench.rest()?.share();
     let (factor, min_span) = if options.short { (SHORT_FACTOR, SHORT_SPAN) } else { (1, SPAN) };
--- a/lab/src/capacity/config_size.rs
+++ b/lab/src/capacity/config_size.rs
@@ -91,8 +91,8 @@
 /// If a process cannot be started or has ended, or a file does not come into force.
 pub fn measure(options: &Options) -> io::Result<Vec<Slope>> {
     let mut figures = Figures::default();
-    let scene = BenchSetup { operators: Some(file(1, 0)), ..BenchSetup::of(MACHINES) };
-    let bench = Bench::start(options, scene)?;
+    let setup = BenchSetup { operators: Some(file(1, 0)), ..BenchSetup::of(MACHINES) };
+    let bench = Bench::start(options, setup)?;
     bench.wait_for_connections()?;
     let share = bench.rest()?.share();
     let mut generation = in_force(&bench)?.generation;
--- a/lab/src/capacity/machines.rs
+++ b/lab/src/capacity/machines.rs
@@ -86,14 +86,14 @@
     );
     figures.measured("answer, p50", "ms", size, asks.placed_ms(0.5));
     figures.measured("answer, p99", "ms", size, asks.placed_ms(0.99));
-    figures.measured("asks", "count", size, asks.tally.asked as f64);
+    figures.measured("asks", "count", size, asks.tally.requests as f64);
     figures.measured("answered", "count", size, asks.tally.answered() as f64);
     figures.measured("failed or unanswered", "count", size, asks.failed() as f64);
     figures.measured("share placed", "share", size, asks.placed_share());
-    let asked = asks.tally.asked as f64;
-    figures.measured("bytes from clients an ask", "bytes", size, asks.tally.bytes.0 as f64 / asked);
-    figures.measured("bytes to clients an ask", "bytes", size, asks.tally.bytes.1 as f64 / asked);
-    let per_ask = asks.window.seconds / asked;
+    let requests = asks.tally.requests as f64;
+    figures.measured("bytes from clients an ask", "bytes", size, asks.tally.bytes.0 as f64 / requests);
+    figures.measured("bytes to clients an ask", "bytes", size, asks.tally.bytes.1 as f64 / requests);
+    let per_ask = asks.window.seconds / requests;
     figures.measured("bytes to machines an ask", "bytes", size, asks.window.bytes_out() * per_ask);
     figures.measured("bytes from machines an ask", "bytes", size, asks.window.bytes_in() * per_ask);
 }
@@ -198,16 +198,16 @@
         "What an ask costs a planner and how long its answer takes, against the machines in its list.",
         "How long a planner takes from its start until it listens and until it has reached its machines.",
     ];
-    let scene = BenchSetup::of(0);
+    let setup = BenchSetup::of(0);
     let mut held = BTreeMap::from([
         ("planners".to_string(), 1.0),
-        ("configured descriptors".to_string(), f64::from(scene.sockets)),
-        ("configured memory, MB".to_string(), scene.memory_mb),
+        ("configured descriptors".to_string(), f64::from(setup.sockets)),
+        ("configured memory, MB".to_string(), setup.memory_mb),
     ]);
     let mut all = Vec::new();
     for ((name, question), figures) in NAMES.iter().zip(questions).zip(figures) {
         if *name == "ask-machines" {
-            held.insert("milliseconds of a task's life".to_string(), scene.plan.life_ms as f64);
+            held.insert("milliseconds of a task's life".to_string(), setup.plan.life_ms as f64);
         } else {
             held.remove("milliseconds of a task's life");
         }
--- a/lab/src/capacity/planners.rs
+++ b/lab/src/capacity/planners.rs
@@ -62,9 +62,9 @@
     let mut all = Vec::new();
     for own in 0..planners {
         let peers = address()?;
-        let scene = BenchSetup { listed: planners, seed: SEED + own as u64, ..BenchSetup::of(MACHINES) };
+        let setup = BenchSetup { listed: planners, seed: SEED + own as u64, ..BenchSetup::of(MACHINES) };
         let file = operators(net, planners, own, peers);
-        all.push(Planner::start(&options.program, &scene.configuration(hollow), Some(&file))?);
+        all.push(Planner::start(&options.program, &setup.configuration(hollow), Some(&file))?);
         net.set_target(own, peers);
     }
     Ok(all)
--- a/lab/src/capacity/standing.rs
+++ b/lab/src/capacity/standing.rs
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Message types of the platform protocol: a set-up, a test of the connection, and the answer to a test.
+/// Message types of the platform protocol: a set-up, a health check, and the answer to one.
 const SET_UP: u8 = 1;
-const TEST: u8 = 52;
-const TESTED: u8 = 53;
+const HEALTH_CHECK: u8 = 52;
+const HEALTH_CHECK_ANSWER: u8 = 53;
 /// Parameter codes of the platform protocol.
 const CLASS: u8 = 3;
 const WAIT: u8 = 4;
@@ -42,7 +42,7 @@
 }
 
 /// Hands a planner standing tasks, evenly over its machines, and waits until it has accepted them: it answers
-/// a test that is sent after them on the same connection only once it has handled them.
+/// a health check that is sent after them on the same connection only once it has handled them.
 ///
 /// # Errors
 /// If the planner cannot be connected to or does not answer in time.
@@ -52,18 +52,18 @@
     client.set_read_timeout(Some(HANDOVER_TIMEOUT))?;
     client.set_write_timeout(Some(HANDOVER_TIMEOUT))?;
     let mut messages: Vec<u8> = (0..tasks).flat_map(|task| set_up(task, machines)).collect();
-    messages.extend(message(TEST, IDS_AFTER - 1, &[CAUSE, 0, 1, 0]));
+    messages.extend(message(HEALTH_CHECK, IDS_AFTER - 1, &[CAUSE, 0, 1, 0]));
     let from = Instant::now();
     client.write_all(&messages)?;
-    // Set-ups of standing tasks are not answered, so the first answer is that to the test.
+    // Set-ups of standing tasks are not answered, so the first answer is that to the health check.
     let mut length = [0; 2];
     client.read_exact(&mut length)?;
     let mut answer = vec![0; usize::from(u16::from_be_bytes(length))];
     client.read_exact(&mut answer)?;
     match answer.first() {
-        Some(&TESTED) => Ok(StandingTasks { _client: client, taken_in: from.elapsed() }),
+        Some(&HEALTH_CHECK_ANSWER) => Ok(StandingTasks { _client: client, taken_in: from.elapsed() }),
         kind => Err(io::Error::other(format!(
-            "planner answered with message type {kind:?} instead of the answer to the test ({TESTED})"
+            "planner answered with message type {kind:?} instead of the health check answer ({HEALTH_CHECK_ANSWER})"
         ))),
     }
 }
--- a/lab/src/capacity/tasks.rs
+++ b/lab/src/capacity/tasks.rs
@@ -68,12 +68,12 @@
         "What a planner spends while no ask comes, against the tasks that stand.",
         "How long a planner takes to be handed the tasks that stand, as clients do after its start.",
     ];
-    let scene = BenchSetup::of(MACHINES);
+    let setup = BenchSetup::of(MACHINES);
     let held = BTreeMap::from([
         ("planners".to_string(), 1.0),
         ("machines".to_string(), MACHINES as f64),
-        ("configured descriptors".to_string(), f64::from(scene.sockets)),
-        ("configured memory, MB".to_string(), scene.memory_mb),
+        ("configured descriptors".to_string(), f64::from(setup.sockets)),
+        ("configured memory, MB".to_string(), setup.memory_mb),
     ]);
     let slope = |((name, question), figures): ((&&str, &str), Figures)| {
         Slope {
--- a/lab/src/commands/budgets.rs
+++ b/lab/src/commands/budgets.rs
@@ -27,13 +27,13 @@
     /// Duration in seconds.
     #[arg(long, default_value_t = 30)]
     seconds: u64,
-    /// Share of its part that a planner may use without contact to others.
+    /// Fraction of its share that a planner may use without a lease.
     #[arg(long, default_value_t = 0.5)]
     floor: f64,
     /// Duration of a lease in milliseconds.
     #[arg(long, default_value_t = 3000)]
     lease_ms: u64,
-    /// Number of voters; 0 if parts need no leases.
+    /// Number of voters; 0 if shares need no leases.
     #[arg(long, default_value_t = 3)]
     voters: usize,
     /// How budgets are set up.
@@ -60,7 +60,7 @@
 enum WayName {
     /// Divided by the fleet with leases.
     Fleet,
-    /// A fixed equal part at each planner.
+    /// A fixed equal share at each planner.
     Parts,
     /// The whole budget at each planner.
     Each,
--- a/lab/src/commands/fleet.rs
+++ b/lab/src/commands/fleet.rs
@@ -53,10 +53,10 @@
 }
 
 fn print_fleet(report: &fleet::Report) {
-    let asked: u64 = report.tallies.iter().map(|t| t.asked).sum();
-    let twice: u64 = report.tallies.iter().map(|t| t.twice).sum();
+    let requests: u64 = report.tallies.iter().map(|t| t.requests).sum();
+    let answered_twice: u64 = report.tallies.iter().map(|t| t.answered_twice).sum();
     println!(
-        "requests {asked} placed {} unanswered {} answered twice {twice}",
+        "requests {requests} placed {} unanswered {} answered twice {answered_twice}",
         report.count(End::Placed),
         report.count(End::Unanswered)
     );
--- a/lab/src/commands/groups.rs
+++ b/lab/src/commands/groups.rs
@@ -42,7 +42,12 @@
     println!("seed {seed}");
     let report = groups::run(&Program::or_own(planner)?, &options)?;
     let h = &report.partial_ms;
-    println!("groups requested {} answers {:?} placed {:.3}", report.asked, report.answers, report.placed());
+    println!(
+        "groups requested {} answers {:?} placed {:.3}",
+        report.requests,
+        report.answers,
+        report.placed()
+    );
     println!(
         "partial ms: {} periods, p50 {} p99 {} max {}; over one second: {}",
         h.len(),
@@ -53,9 +58,9 @@
     );
     println!("members with two concurrent copies {}", report.groups.doubled.len());
     report.groups.doubled.iter().take(5).for_each(|b| println!("  {b}"));
-    let (p, asked) = (&report.tally.placed_us, report.tally.asked);
+    let (p, requests) = (&report.tally.placed_us, report.tally.requests);
     println!(
-        "ordinary load: requests {asked} placed {} ms p50 {:.1} p99 {:.1}; unanswered {}",
+        "ordinary load: requests {requests} placed {} ms p50 {:.1} p99 {:.1}; unanswered {}",
         report.tally.count(End::Placed),
         p.value_at_quantile(0.5) as f64 / 1e3,
         p.value_at_quantile(0.99) as f64 / 1e3,
--- a/lab/src/commands/reload.rs
+++ b/lab/src/commands/reload.rs
@@ -59,7 +59,12 @@
 fn print_reload(report: &reload::Report) {
     let reload::Report { tally, verdict, used, reloads, in_force } = report;
     let ms = |h: &hdrhistogram::Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
-    println!("requests {} answered {} answered twice {}", tally.asked, tally.answered(), tally.twice);
+    println!(
+        "requests {} answered {} answered twice {}",
+        tally.requests,
+        tally.answered(),
+        tally.answered_twice
+    );
     for (end, count) in &tally.ends {
         println!("  {end:?} {count}");
     }
@@ -73,7 +78,7 @@
     );
     println!("planner: peak {} KiB, cpu {:.2} s", used.peak_kib, used.cpu_ticks as f64 / 100.0);
     println!("reloads {reloads}, generation {}", in_force["generation"]);
-    println!("offers {} for {} jobs, max {} per job", verdict.asks, verdict.jobs, verdict.most_attempts);
+    println!("offers {} for {} jobs, max {} per job", verdict.offers, verdict.jobs, verdict.most_attempts);
     println!("broken rules: {}", verdict.broken.len());
     verdict.broken.iter().take(10).for_each(|b| println!("  {b}"));
 }
--- a/lab/src/commands/twin.rs
+++ b/lab/src/commands/twin.rs
@@ -24,7 +24,7 @@
     /// Duration of a lease in milliseconds, for handovers.
     #[arg(long, default_value_t = 3000)]
     lease_ms: u64,
-    /// Measure how long parts are idle, instead of drawn faults.
+    /// Measure how long shares are idle after a planner's stop and start, instead of drawn faults.
     #[arg(long)]
     handovers: bool,
 }
@@ -38,9 +38,9 @@
     }
     let mut passed = true;
     for seed in seed..seed + seeds {
-        let mut twin = simulation::Simulation::new(simulation::random_options(seed, planners, seconds));
-        twin.run(Duration::from_secs(seconds));
-        if let Some(broken) = &twin.broken {
+        let mut simulated = simulation::Simulation::new(simulation::random_options(seed, planners, seconds));
+        simulated.run(Duration::from_secs(seconds));
+        if let Some(broken) = &simulated.broken {
             println!("seed {seed}: {broken}");
             passed = false;
         }
@@ -58,9 +58,9 @@
         let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
         println!("{name}: p50 {:?} p99 {:?} ms", at(0.5), at(0.99));
     };
-    show("from a planner's death until others use its part", all.iter().map(|(used, _)| *used).collect());
+    show("from a planner's death until others use its share", all.iter().map(|(used, _)| *used).collect());
     show(
-        "from a planner's start until it has a fair part",
+        "from a planner's start until it has a fair share",
         all.iter().map(|(_, restored)| *restored).collect(),
     );
 }
--- a/lab/src/experiments/brownout.rs
+++ b/lab/src/experiments/brownout.rs
@@ -53,7 +53,7 @@
 impl Report {
     /// Share of all requests that were placed.
     pub fn placed(&self) -> f64 {
-        self.tally.count(End::Placed) as f64 / self.tally.asked.max(1) as f64
+        self.tally.count(End::Placed) as f64 / self.tally.requests.max(1) as f64
     }
 }
 
@@ -90,7 +90,7 @@
         services: (0..8).map(|n| format!("search-{n}")).collect(),
         seed: options.seed,
         room: (0.25, 0.5),
-        patience: Duration::from_secs(3),
+        answer_wait: Duration::from_secs(3),
     };
     let (tally, from, until) = std::thread::scope(|scope| -> io::Result<(Tally, Duration, Duration)> {
         let load = scope.spawn(|| load::run(&shape, planner.owners, planner.rest));
@@ -111,7 +111,7 @@
     for entry in all {
         let within = (from..until).contains(&entry.at);
         match entry.what {
-            What::Ask { .. } => {
+            What::Offered { .. } => {
                 let first = seen.insert(entry.job);
                 offers += usize::from(within);
                 retries += usize::from(within && !first);
--- a/lab/src/experiments/budgets.rs
+++ b/lab/src/experiments/budgets.rs
@@ -5,7 +5,7 @@
 use super::nodes;
 use crate::audit::{attempts, Attempt, Verdict};
 use crate::judge::{mean_at_once, most_at_once, worst_window, Spans};
-use crate::load::{run_controlled, Asked, End, LoadControl, Shape};
+use crate::load::{run_controlled, End, LoadControl, RequestRecord, Shape};
 use crate::net::{Fault, Net, Schedule, Traffic};
 use crate::node::{Act, Ledger, Node, Plan};
 use crate::planner::{address, config, Planner, Program};
@@ -39,7 +39,7 @@
 pub enum Way {
     /// Divided by the fleet with leases.
     Fleet,
-    /// A fixed equal part at each planner, as without a fleet.
+    /// A fixed equal share at each planner, as without a fleet.
     Parts,
     /// The whole budget at each planner; the check must report this as broken.
     Each,
@@ -66,9 +66,9 @@
     pub retry: (f64, u64),
     /// Duration of a lease in milliseconds.
     pub lease_ms: u64,
-    /// Share of its part that a planner may use without contact to others.
+    /// Fraction of its share that a planner may use without a lease.
     pub floor: f64,
-    /// Number of voters; 0 if parts need no leases.
+    /// Number of voters; 0 if shares need no leases.
     pub voters: usize,
     /// Faults of the run.
     pub schedule: Schedule,
@@ -178,7 +178,7 @@
 }
 
 /// A planner's process and the addresses that it keeps across restarts.
-struct PlannerSlot {
+struct PlannerProcess {
     planner: Option<Planner>,
     owners: SocketAddr,
     peers: SocketAddr,
@@ -186,7 +186,7 @@
     stopping: Option<std::thread::JoinHandle<io::Result<()>>>,
 }
 
-impl PlannerSlot {
+impl PlannerProcess {
     fn start(
         &mut self,
         program: &Program,
@@ -233,10 +233,12 @@
     let nodes = nodes(options.nodes, clock, plan)?;
     let addresses: Vec<SocketAddr> = nodes.iter().map(|n| n.address()).collect();
     let net = Net::start(options.planners, options.seed)?;
-    let slot = |_| Ok(PlannerSlot { planner: None, owners: address()?, peers: address()?, stopping: None });
-    let mut planner_slots = (0..options.planners).map(slot).collect::<io::Result<Vec<PlannerSlot>>>()?;
-    for (me, slot) in planner_slots.iter_mut().enumerate() {
-        slot.start(program, options, (&net, options.in_flight), &addresses, me)?;
+    let process =
+        |_| Ok(PlannerProcess { planner: None, owners: address()?, peers: address()?, stopping: None });
+    let mut planner_processes =
+        (0..options.planners).map(process).collect::<io::Result<Vec<PlannerProcess>>>()?;
+    for (me, process) in planner_processes.iter_mut().enumerate() {
+        process.start(program, options, (&net, options.in_flight), &addresses, me)?;
     }
     let controls: Vec<LoadControl> = (0..options.planners).map(|_| LoadControl::default()).collect();
     let even = || controls.iter().for_each(|control| control.set(options.rate / options.planners as f64));
@@ -250,7 +252,7 @@
         services: (0..8).map(|n| format!("search-{n}")).collect(),
         seed: options.seed.wrapping_add(at as u64),
         room: (0.25, 0.5),
-        patience: Duration::from_millis(1_500),
+        answer_wait: Duration::from_millis(1_500),
         ids_after: (at as u64 + 1) << 32,
         release_wait: Duration::ZERO,
     };
@@ -261,7 +263,7 @@
             .iter()
             .enumerate()
             .map(|(at, control)| {
-                let (shape, to) = (shape(at), planner_slots[at].owners);
+                let (shape, to) = (shape(at), planner_processes[at].owners);
                 scope.spawn(move || run_controlled(&shape, to, control))
             })
             .collect();
@@ -278,21 +280,21 @@
             unused: RefCell::default(),
             waited: RefCell::default(),
         };
-        let played = experiment.run_schedule(&mut planner_slots, began, &mut starts);
+        let outcome = experiment.run_schedule(&mut planner_processes, began, &mut starts);
         let used: Vec<u64> =
-            planner_slots.iter().filter_map(|s| Some(s.planner.as_ref()?.used().cpu_ticks)).collect();
+            planner_processes.iter().filter_map(|s| Some(s.planner.as_ref()?.used().cpu_ticks)).collect();
         controls.iter().for_each(LoadControl::stop);
         let mut logs = Vec::new();
         for load in loads {
             logs.push(load.join().map_err(|_| io::Error::other("a load generator panicked"))??);
         }
-        let span = played?;
+        let span = outcome?;
         Ok((logs, used, span, experiment))
     })?;
     let until = clock.at(began + span);
     let ledgers: Vec<Ledger> = nodes.iter().map(Node::ledger).collect();
-    let twice: u64 = logs.iter().map(|(_, twice)| twice).sum();
-    let logs: Vec<Asked> = logs.into_iter().flat_map(|(log, _)| log).collect();
+    let answered_twice: u64 = logs.iter().map(|(_, answered_twice)| answered_twice).sum();
+    let logs: Vec<RequestRecord> = logs.into_iter().flat_map(|(log, _)| log).collect();
     let mut report = judge(
         options,
         &clock,
@@ -302,8 +304,8 @@
         &logs,
     );
     (report.unused, report.waited) = (experiment.unused.take(), experiment.waited.take());
-    if twice > 0 {
-        report.broken.push(format!("{twice} second final answers received"));
+    if answered_twice > 0 {
+        report.broken.push(format!("{answered_twice} second final answers received"));
     }
     let ms: u64 = used.iter().sum::<u64>() * 10;
     report.cpu_ms = ms as f64 * 1e3 / logs.len().max(1) as f64;
@@ -316,7 +318,7 @@
     Ok(report)
 }
 
-/// All parts of a running experiment.
+/// A running experiment: its options, processes, network and load, and the results so far.
 struct Experiment<'a> {
     program: &'a Program,
     options: &'a Options,
@@ -346,8 +348,8 @@
         let flight = jobs.values().filter_map(|a| in_flight(a)).collect();
         let first = |a: &Vec<Attempt>| a.first().filter(|a| a.class == "keyed").map(|a| a.from);
         let keyed = jobs.values().filter_map(first).filter(|at| (span.0..until).contains(at)).count();
-        let (whole, rate) = (self.limit_in_flight() as f64, self.options.keyed.0);
-        (mean_at_once(&flight, span) / whole, keyed as f64 / over.as_secs_f64() / rate)
+        let (limit, rate) = (self.limit_in_flight() as f64, self.options.keyed.0);
+        (mean_at_once(&flight, span) / limit, keyed as f64 / over.as_secs_f64() / rate)
     }
 
     /// Waits until more than this share of both budgets was used over `over`; returns how long that took.
@@ -371,7 +373,7 @@
     /// Runs the schedule to the end of the run; returns how long that took, including all waits.
     fn run_schedule(
         &self,
-        planner_slots: &mut [PlannerSlot],
+        planner_processes: &mut [PlannerProcess],
         began: Instant,
         starts: &mut usize,
     ) -> io::Result<Duration> {
@@ -390,48 +392,48 @@
             }
             if step == Some(next) {
                 let Some(step) = steps.next() else { continue };
-                if let Fault::Used { share, over_ms } = step.what {
+                if let Fault::AwaitUse { share, over_ms } = step.what {
                     let took = self.wait_for_use(share, Duration::from_millis(over_ms));
                     self.waited.borrow_mut().push(took);
                     waited += took;
                     continue;
                 }
-                self.apply_step(&step.what, planner_slots, next, &mut deferred)?;
+                self.apply_step(&step.what, planner_processes, next, &mut deferred)?;
             } else if let Some(Reverse((_, what))) = deferred.pop() {
                 match what {
                     Deferred::Start(at)
-                        if planner_slots[at].stopping.as_ref().is_some_and(|s| !s.is_finished()) =>
+                        if planner_processes[at].stopping.as_ref().is_some_and(|s| !s.is_finished()) =>
                     {
                         deferred.push(Reverse((next + POLL_INTERVAL, Deferred::Start(at))));
                     }
-                    Deferred::Start(at) if planner_slots[at].planner.is_none() => {
+                    Deferred::Start(at) if planner_processes[at].planner.is_none() => {
                         *starts += 1;
-                        if let Some(stopping) = planner_slots[at].stopping.take() {
+                        if let Some(stopping) = planner_processes[at].stopping.take() {
                             stopping
                                 .join()
                                 .map_err(|_| io::Error::other("the stopping thread panicked"))??;
                         }
                         self.controls[at].pause(false);
                         let file = (self.net, self.limit_in_flight());
-                        planner_slots[at].start(self.program, self.options, file, self.addresses, at)?;
+                        planner_processes[at].start(self.program, self.options, file, self.addresses, at)?;
                     }
                     Deferred::Start(_) => {}
                     Deferred::Continue(at) => {
                         // The planner may have been killed meanwhile.
-                        let _ = planner_slots[at].planner.as_ref().map(|p| p.signal("CONT"));
+                        let _ = planner_processes[at].planner.as_ref().map(|p| p.signal("CONT"));
                     }
                 }
             }
         }
         // Resumes all suspended planners, so that the CPU use of all can be read.
-        planner_slots.iter().filter_map(|s| s.planner.as_ref()).for_each(|p| drop(p.signal("CONT")));
+        planner_processes.iter().filter_map(|s| s.planner.as_ref()).for_each(|p| drop(p.signal("CONT")));
         Ok(waited + self.options.span)
     }
 
     fn apply_step(
         &self,
         what: &Fault,
-        planner_slots: &mut [PlannerSlot],
+        planner_processes: &mut [PlannerProcess],
         now: Duration,
         deferred: &mut BinaryHeap<Reverse<(Duration, Deferred)>>,
     ) -> io::Result<()> {
@@ -439,25 +441,25 @@
         match what {
             Fault::Weather { .. } | Fault::Part { .. } | Fault::Heal => self.net.apply(what),
             Fault::Kill { planner, again_ms } => {
-                if planner_slots[*planner].planner.take().is_some() {
+                if planner_processes[*planner].planner.take().is_some() {
                     deferred.extend(again_ms.map(|ms| Reverse((after(ms), Deferred::Start(*planner)))));
                 }
             }
             Fault::Term { planner, again_ms } => {
-                if let Some(stopping) = planner_slots[*planner].planner.take() {
+                if let Some(stopping) = planner_processes[*planner].planner.take() {
                     // A suspended process would not handle SIGTERM.
                     let _ = stopping.signal("CONT");
                     // Stops its load: the planner exits only after it has answered all requests, up to their
                     // deadline.
                     self.controls[*planner].pause(true);
                     let timeout = Duration::from_secs(12);
-                    planner_slots[*planner].stopping =
+                    planner_processes[*planner].stopping =
                         Some(std::thread::spawn(move || stopping.stop(timeout)));
                     deferred.extend(again_ms.map(|ms| Reverse((after(ms), Deferred::Start(*planner)))));
                 }
             }
             Fault::Stop { planner, for_ms } => {
-                if let Some(planner) = &planner_slots[*planner].planner {
+                if let Some(planner) = &planner_processes[*planner].planner {
                     planner.signal("STOP")?;
                 }
                 deferred.push(Reverse((after(*for_ms), Deferred::Continue(*planner))));
@@ -473,15 +475,15 @@
                     control.set(self.options.rate * part);
                 }
             }
-            Fault::Whole { units } => {
+            Fault::InFlightLimit { units } => {
                 self.limits_in_flight.borrow_mut().push((self.clock.at(Instant::now()), *units));
-                for (me, slot) in planner_slots.iter().enumerate() {
-                    if let Some(planner) = &slot.planner {
-                        planner.reload(&operators_file(self.options, self.net, *units, me, slot.peers))?;
+                for (me, process) in planner_processes.iter().enumerate() {
+                    if let Some(planner) = &process.planner {
+                        planner.reload(&operators_file(self.options, self.net, *units, me, process.peers))?;
                     }
                 }
             }
-            Fault::Used { .. } => {}
+            Fault::AwaitUse { .. } => {}
             Fault::Even => {
                 self.controls
                     .iter()
@@ -527,7 +529,7 @@
     (began, until): (Duration, Duration),
     limits_in_flight: &[(Duration, u64)],
     ledgers: &[Ledger],
-    logs: &[Asked],
+    logs: &[RequestRecord],
 ) -> Report {
     let mut verdict = Verdict::default();
     let jobs = attempts(ledgers, &mut verdict);
--- a/lab/src/experiments/fleet.rs
+++ b/lab/src/experiments/fleet.rs
@@ -134,7 +134,7 @@
         services: (0..2 * options.nodes).map(|n| format!("search-{n}")).collect(),
         seed: options.seed.wrapping_add(at as u64),
         room: (0.25, 0.5),
-        patience: Duration::from_secs(3),
+        answer_wait: Duration::from_secs(3),
         ids_after: (at as u64 + 1) << 32,
         release_wait: Duration::from_millis(options.life_ms.1) + Duration::from_secs(8),
     };
--- a/lab/src/experiments/groups.rs
+++ b/lab/src/experiments/groups.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct Report {
     /// Number of groups requested.
-    pub asked: usize,
+    pub requests: usize,
     /// Answers by HTTP status; 0 stands for no answer.
     pub answers: BTreeMap<u16, usize>,
     /// Audit of the groups from the ledgers.
@@ -84,7 +84,7 @@
     /// Share of groups that were placed completely.
     pub fn placed(&self) -> f64 {
         let placed = [200, 201].iter().filter_map(|s| self.answers.get(s)).sum::<usize>();
-        placed as f64 / self.asked.max(1) as f64
+        placed as f64 / self.requests.max(1) as f64
     }
 }
 
@@ -148,7 +148,7 @@
     members: Vec<Value>,
     key: &str,
 ) -> u16 {
-    let asks = members.into_iter().enumerate().map(|(at, mut member)| {
+    let submissions = members.into_iter().enumerate().map(|(at, mut member)| {
         let (client, key) = (client.clone(), format!("{key}/{at}"));
         tokio::spawn(async move {
             member["deadlineMs"] = json!(5000);
@@ -156,10 +156,10 @@
             call(&client, "POST", rest, "/v1/jobs", key.as_deref(), &member).await
         })
     });
-    let asks: Vec<_> = asks.collect();
+    let submissions: Vec<_> = submissions.collect();
     let (mut placed, mut status) = (Vec::new(), 201);
-    for ask in asks {
-        match ask.await.ok().flatten() {
+    for submission in submissions {
+        match submission.await.ok().flatten() {
             Some((201, job)) => placed.extend(job["id"].as_str().map(str::to_string)),
             other => status = other.map_or(0, |(status, _)| status),
         }
@@ -177,14 +177,14 @@
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed ^ 0x96);
     let started = tokio::time::Instant::now();
     let count = (options.groups * options.span.as_secs_f64()) as usize;
-    let mut asked = Vec::with_capacity(count);
+    let mut requests = Vec::with_capacity(count);
     for group in 0..count {
         tokio::time::sleep_until(started + Duration::from_secs_f64(group as f64 / options.groups)).await;
         let members = rng.gen_range(options.members.0..=options.members.1);
         let members: Vec<Value> =
             (0..members).map(|at| member(group, at, members, rng.gen_bool(0.3))).collect();
         let (client, naive, key) = (client.clone(), options.naive, format!("{}-{group}", options.seed));
-        asked.push(tokio::spawn(async move {
+        requests.push(tokio::spawn(async move {
             if naive {
                 return submit_separately(&client, rest, members, &key).await;
             }
@@ -196,8 +196,8 @@
         }));
     }
     let mut answers = BTreeMap::new();
-    for ask in asked {
-        *answers.entry(ask.await.unwrap_or(0)).or_default() += 1;
+    for submission in requests {
+        *answers.entry(submission.await.unwrap_or(0)).or_default() += 1;
     }
     answers
 }
@@ -239,7 +239,7 @@
         services: (0..8).map(|n| format!("search-{n}")).collect(),
         seed: options.seed,
         room: TASK,
-        patience: Duration::from_secs(3),
+        answer_wait: Duration::from_secs(3),
     };
     let done = AtomicBool::new(false);
     let (tally, answers) = std::thread::scope(|scope| -> io::Result<(Tally, BTreeMap<u16, usize>)> {
@@ -265,6 +265,6 @@
     let mut partial_ms = Histogram::new_with_bounds(1, 600_000, 3).unwrap_or_else(|_| unreachable!());
     groups.partial.iter().for_each(|time| partial_ms.saturating_record(time.as_millis() as u64));
     let over = groups.partial.iter().filter(|time| **time > Duration::from_secs(1)).count();
-    let asked = answers.values().sum();
-    Ok(Report { asked, answers, groups, partial_ms, over, verdict, tally, used })
+    let requests = answers.values().sum();
+    Ok(Report { requests, answers, groups, partial_ms, over, verdict, tally, used })
 }
--- a/lab/src/experiments/reload.rs
+++ b/lab/src/experiments/reload.rs
@@ -121,7 +121,7 @@
         services: (0..8).map(|n| format!("search-{n}")).collect(),
         seed,
         room: (0.25, 0.5),
-        patience: Duration::from_secs(3),
+        answer_wait: Duration::from_secs(3),
     };
     let done = AtomicBool::new(false);
     let (tally, reloads) = std::thread::scope(|scope| -> io::Result<(Tally, u64)> {
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -48,7 +48,7 @@
     /// Cores and memory of each job.
     pub room: (f64, f64),
     /// How long to wait for an answer after the deadline.
-    pub patience: Duration,
+    pub answer_wait: Duration,
     /// Job ids on the platform front start after this one; concurrent loads must not share ids.
     pub ids_after: u64,
     /// How long after the last answer releases of running tasks are still received.
@@ -76,9 +76,9 @@
     /// Number of requests by outcome.
     pub ends: BTreeMap<End, u64>,
     /// Number of requests.
-    pub asked: u64,
+    pub requests: u64,
     /// Number of second final answers, which no request may have.
-    pub twice: u64,
+    pub answered_twice: u64,
     /// Number of rejected requests whose answer contains a retry time.
     pub with_retry_time: u64,
     /// Releases of running tasks on the platform front: job id and time of arrival.
@@ -98,8 +98,8 @@
             || Histogram::new_with_bounds(1, MAX_RECORDED_US, 3).unwrap_or_else(|_| unreachable!());
         Tally {
             ends: BTreeMap::new(),
-            asked: 0,
-            twice: 0,
+            requests: 0,
+            answered_twice: 0,
             with_retry_time: 0,
             released: Vec::new(),
             bytes: (0, 0),
@@ -115,11 +115,11 @@
 
     /// Number of requests that were answered.
     pub fn answered(&self) -> u64 {
-        self.asked - self.count(End::Unanswered)
+        self.requests - self.count(End::Unanswered)
     }
 
     fn record(&mut self, end: End, took: Duration, with_retry_time: bool) {
-        self.asked += 1;
+        self.requests += 1;
         *self.ends.entry(end).or_default() += 1;
         let micros = (took.as_micros() as u64).clamp(1, MAX_RECORDED_US);
         match end {
@@ -156,7 +156,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(shape.seed);
     let started = tokio::time::Instant::now();
     let count = (shape.rate * shape.span.as_secs_f64()) as u64;
-    let mut asked = Vec::with_capacity(count as usize);
+    let mut requests = Vec::with_capacity(count as usize);
     for number in 0..count {
         tokio::time::sleep_until(started + Duration::from_secs_f64(number as f64 / shape.rate)).await;
         let keyed = rng.gen_bool(shape.keyed);
@@ -170,14 +170,15 @@
             room: shape.room,
             deadline: shape.deadline,
         };
-        let patience = shape.deadline + shape.patience;
+        let answer_wait = shape.deadline + shape.answer_wait;
         let tally = tally.clone();
-        asked.push(match rest {
+        requests.push(match rest {
             Some(rest) => {
                 let client = client.clone();
                 tokio::spawn(async move {
                     let from = Instant::now();
-                    let answer = tokio::time::timeout(patience, ask_by_rest(&client, rest, &request)).await;
+                    let answer =
+                        tokio::time::timeout(answer_wait, request_by_rest(&client, rest, &request)).await;
                     let (end, with_retry_time) = answer.unwrap_or((End::Unanswered, false));
                     with_tally(&tally, |t| t.record(end, from.elapsed(), with_retry_time));
                 })
@@ -187,14 +188,14 @@
                 let id = shape.ids_after + number + 1;
                 tokio::spawn(async move {
                     let from = Instant::now();
-                    let answer = tokio::time::timeout(patience, connection.request(id, &request)).await;
+                    let answer = tokio::time::timeout(answer_wait, connection.request(id, &request)).await;
                     let (end, with_retry_time) = answer.unwrap_or((End::Unanswered, false));
                     with_tally(&tally, |t| t.record(end, from.elapsed(), with_retry_time));
                 })
             }
         });
     }
-    for task in asked {
+    for task in requests {
         let _ = task.await;
     }
     tokio::time::sleep(shape.release_wait).await;
@@ -203,7 +204,7 @@
 
 /// A request as its client recorded it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     /// The job id, as in the machines' ledgers.
     pub id: u64,
     /// Whether it has an idempotency key.
@@ -250,15 +251,19 @@
 ///
 /// # Errors
 /// If the async runtime cannot be created.
-pub fn run_controlled(shape: &Shape, to: SocketAddr, control: &LoadControl) -> io::Result<(Vec<Asked>, u64)> {
+pub fn run_controlled(
+    shape: &Shape,
+    to: SocketAddr,
+    control: &LoadControl,
+) -> io::Result<(Vec<RequestRecord>, u64)> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let tally: Shared = Arc::new(Mutex::new(Tally::new()));
-        let log: Arc<Mutex<Vec<Asked>>> = Arc::default();
+        let log: Arc<Mutex<Vec<RequestRecord>>> = Arc::default();
         let mut connections: Vec<Option<Arc<Owner>>> = vec![None; CONNECTIONS];
         let mut rng = Pcg64Mcg::seed_from_u64(shape.seed);
         let (mut credit, mut last, mut number) = (0.0, Instant::now(), 0u64);
-        let mut asked: Vec<tokio::task::JoinHandle<()>> = Vec::new();
+        let mut requests: Vec<tokio::task::JoinHandle<()>> = Vec::new();
         while !control.stopped.load(Ordering::Relaxed) {
             tokio::time::sleep(POLL_INTERVAL).await;
             let now = Instant::now();
@@ -288,23 +293,23 @@
                     room: shape.room,
                     deadline: shape.deadline,
                 };
-                let (patience, log) = (shape.deadline + shape.patience, log.clone());
-                asked.push(tokio::spawn(async move {
+                let (answer_wait, log) = (shape.deadline + shape.answer_wait, log.clone());
+                requests.push(tokio::spawn(async move {
                     let sent = Instant::now();
-                    let answer = tokio::time::timeout(patience, connection.request(id, &request)).await;
+                    let answer = tokio::time::timeout(answer_wait, connection.request(id, &request)).await;
                     let (end, with_retry_time) = answer.unwrap_or((End::Unanswered, false));
                     let answered = Instant::now();
                     let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-                    log.push(Asked { id, keyed, sent, answered, end, with_retry_time });
+                    log.push(RequestRecord { id, keyed, sent, answered, end, with_retry_time });
                 }));
             }
-            asked.retain(|task| !task.is_finished());
+            requests.retain(|task| !task.is_finished());
         }
-        for task in asked {
+        for task in requests {
             let _ = task.await;
         }
         let log = std::mem::take(&mut *log.lock().unwrap_or_else(PoisonError::into_inner));
-        Ok((log, with_tally(&tally, |t| t.twice)))
+        Ok((log, with_tally(&tally, |t| t.answered_twice)))
     })
 }
 
@@ -346,7 +351,7 @@
     Client::builder(TokioExecutor::new()).build_http()
 }
 
-async fn ask_by_rest(client: &RestClient, to: SocketAddr, request: &JobRequest) -> (End, bool) {
+async fn request_by_rest(client: &RestClient, to: SocketAddr, request: &JobRequest) -> (End, bool) {
     let body = json!({"class": request.class, "service": request.service, "cores": request.room.0,
         "memory": request.room.1, "deadlineMs": request.deadline.as_millis() as u64, "description": "POST /run"});
     let answer = call(client, "POST", to, "/v1/jobs", request.key.as_deref(), &body).await;
@@ -463,7 +468,7 @@
             }
             // The one release of a placed task.
             (12, None) if placed.remove(&id) => with_tally(&tally, |t| t.released.push((id, Instant::now()))),
-            (9 | 12, None) => with_tally(&tally, |t| t.twice += 1),
+            (9 | 12, None) => with_tally(&tally, |t| t.answered_twice += 1),
             _ => {}
         }
     }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -42,7 +42,7 @@
     Fleet(commands::fleet::Arguments),
     /// Checks budgets of the whole fleet under faults, from the machines' ledgers and the clients' logs.
     Budgets(commands::budgets::Arguments),
-    /// Simulates a fleet: drawn faults over many seeds, or how long parts are idle when planners stop and
+    /// Simulates a fleet: drawn faults over many seeds, or how long shares are idle when planners stop and
     /// start.
     Twin(commands::twin::Arguments),
     /// Scale tests: the cost of each part as one size grows.
--- a/lab/src/net/schedule.rs
+++ b/lab/src/net/schedule.rs
@@ -75,13 +75,14 @@
     /// Spreads the load evenly.
     Even,
     /// Reloads all planners, one after the other, with this fleet-wide limit for jobs in flight.
-    Whole {
+    InFlightLimit {
         /// The limit, in jobs.
         units: u64,
     },
-    /// Delays all later steps until more than this share of each budget was used over `over_ms`: how soon a
-    /// fleet serves again depends on the load of the machine that runs the experiment.
-    Used {
+    /// Waits until more than this share of each budget was used over `over_ms`, and delays all later steps by
+    /// the time waited. A fixed time does not suffice: how soon a fleet serves again depends on the load of the
+    /// host that runs the experiment.
+    AwaitUse {
         /// Share of the limit for jobs in flight and of the rate.
         share: f64,
         /// Milliseconds over which the use is averaged.
@@ -105,8 +106,8 @@
 impl Schedule {
     /// Adds a step after all steps of the same or an earlier time.
     pub fn at(mut self, at_ms: u64, what: Fault) -> Schedule {
-        let place = self.0.partition_point(|s| s.at_ms <= at_ms);
-        self.0.insert(place, Step { at_ms, what });
+        let position = self.0.partition_point(|s| s.at_ms <= at_ms);
+        self.0.insert(position, Step { at_ms, what });
         self
     }
 
@@ -221,8 +222,10 @@
         "reset" => Fault::Reset { node: node()? },
         "lean" => Fault::Lean { planner: planner()?, share: share("share")? },
         "even" => Fault::Even,
-        "whole" => Fault::Whole { units: section.need("units").and_then(|i| i.count(1..=1_000_000))? },
-        "used" => Fault::Used { share: share("share")?, over_ms: millis("overMs")? },
+        "whole" => {
+            Fault::InFlightLimit { units: section.need("units").and_then(|i| i.count(1..=1_000_000))? }
+        }
+        "used" => Fault::AwaitUse { share: share("share")?, over_ms: millis("overMs")? },
         other => {
             let known = [
                 "weather", "part", "heal", "kill", "term", "stop", "slow", "reset", "lean", "even", "whole",
--- a/lab/src/node/mod.rs
+++ b/lab/src/node/mod.rs
@@ -79,9 +79,9 @@
         self.shared.lock().ledger.clone()
     }
 
-    /// Number of tasks that run.
-    pub fn standing(&self) -> usize {
-        self.shared.lock().standing()
+    /// Number of running tasks.
+    pub fn running_tasks(&self) -> usize {
+        self.shared.lock().running_tasks()
     }
 }
 
--- a/lab/src/node/state.rs
+++ b/lab/src/node/state.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    pub fn standing(&self) -> usize {
+    pub fn running_tasks(&self) -> usize {
         self.copies.values().filter(|c| c.runs).count()
     }
 
@@ -179,7 +179,7 @@
         let unanswered = self.draw_bool(silent);
         self.accept(offer, unanswered);
         if unanswered {
-            self.ledger.record(now, offer.job, offer.connection, What::RunsUntold);
+            self.ledger.record(now, offer.job, offer.connection, What::RunsUnreported);
             return Decision::Unanswered;
         }
         if self.starting >= self.plan.starts {
--- a/lab/src/simulation.rs
+++ b/lab/src/simulation.rs
@@ -21,18 +21,18 @@
 const MAX_STARTS_PER_EVENT: u64 = 20;
 /// Microseconds from a job's start to its deadline.
 const JOB_TIMEOUT: Micros = 400 * MS;
-/// Name of the limit in the operators' file.
-const PLACE: &str = "default";
+/// Name of the limit in the operators' file to which the budgets belong.
+const LIMIT_NAME: &str = "default";
 
 /// What is simulated.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Number of planners.
     pub planners: usize,
-    /// Number of voters; 0 if parts need no leases.
+    /// Number of voters; 0 if shares need no leases.
     pub voters: usize,
     /// Units of the fleet's budget for jobs in flight.
-    pub whole: u64,
+    pub budget: u64,
     /// Units of a rate budget, and the microseconds for which a job holds one; no rate budget if 0.
     pub rate: (u64, Micros),
     /// Duration and renewal of leases.
@@ -51,11 +51,11 @@
 
 impl Options {
     /// A fleet without faults.
-    pub fn calm(planners: usize, whole: u64, demand: impl Fn(usize) -> u64) -> Options {
+    pub fn calm(planners: usize, budget: u64, demand: impl Fn(usize) -> u64) -> Options {
         Options {
             planners,
             voters: 3.min(planners),
-            whole,
+            budget,
             rate: (0, 0),
             terms: TERMS,
             schedule: Schedule::default(),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Terms for simulated fleets: leases of 2 s, clock rates within 1%, and half of each part usable without a
+/// Terms for simulated fleets: leases of 2 s, clock rates within 1%, and half of each share usable without a
 /// lease.
 pub const TERMS: Terms =
     Terms { lease: 2_000 * MS, rate_error_ppm: 10_000, ask_every: 50 * MS, floor_permille: 500 };
@@ -142,7 +142,7 @@
         let mut weather = Weather::without_faults(options.planners);
         weather.delay_ms = options.delay_ms;
         let taken = vec![Vec::new(); options.planners];
-        let mut twin = Simulation {
+        let mut simulation = Simulation {
             now: 0,
             rng,
             weather,
@@ -160,17 +160,17 @@
             broken: None,
             options,
         };
-        for at in 0..twin.options.planners {
-            let after = twin.rng.gen_range(0..50 * MS);
-            twin.schedule_event(after, Event::Start(at as Member));
+        for at in 0..simulation.options.planners {
+            let after = simulation.rng.gen_range(0..50 * MS);
+            simulation.schedule_event(after, Event::Start(at as Member));
         }
-        for (at, step) in twin.options.schedule.0.clone().iter().enumerate() {
-            twin.schedule_event(step.at_ms * MS, Event::Step(at));
+        for (at, step) in simulation.options.schedule.0.clone().iter().enumerate() {
+            simulation.schedule_event(step.at_ms * MS, Event::Step(at));
         }
-        if twin.options.demand_change_ms > 0 {
-            twin.schedule_event(twin.options.demand_change_ms * MS, Event::ChangeDemand);
+        if simulation.options.demand_change_ms > 0 {
+            simulation.schedule_event(simulation.options.demand_change_ms * MS, Event::ChangeDemand);
         }
-        twin
+        simulation
     }
 
     /// Schedules an event `after` microseconds of true time from now.
@@ -212,7 +212,7 @@
         let clock = self.clock(of);
         let planner = &mut self.planners[usize::from(of)];
         let Some(budgets) = planner.budgets.as_mut() else { return };
-        let (flight, rate) = (Kind::InFlight.id(PLACE), Kind::Rate.id(PLACE));
+        let (flight, rate) = (Kind::InFlight.id(LIMIT_NAME), Kind::Rate.id(LIMIT_NAME));
         let mut started = Vec::new();
         for _ in 0..MAX_STARTS_PER_EVENT.min(planner.demand.saturating_sub(planner.uses.len() as u64)) {
             if let Ok(Some(share)) = budgets.take(clock, flight, JOB_TIMEOUT) {
@@ -248,9 +248,9 @@
     }
 
     /// The budgets as the operators' file sets them.
-    fn wanted(&self) -> Vec<BudgetSpec> {
-        let one = |kind, whole, hold| BudgetSpec { place: Arc::from(PLACE), kind, total: whole, hold };
-        let mut all = vec![one(Kind::InFlight, self.options.whole, 0)];
+    fn budget_specs(&self) -> Vec<BudgetSpec> {
+        let one = |kind, budget, hold| BudgetSpec { place: Arc::from(LIMIT_NAME), kind, total: budget, hold };
+        let mut all = vec![one(Kind::InFlight, self.options.budget, 0)];
         let (units, hold) = self.options.rate;
         if units > 0 {
             all.push(one(Kind::Rate, units, hold));
@@ -320,7 +320,7 @@
                 let voters = (0..self.options.voters as Member).collect();
                 let plan = Plan { place: (of, members), voters, terms: self.options.terms };
                 let mut budgets = BudgetLedger::new(&plan, incarnation, clock);
-                budgets.set(clock, self.wanted());
+                budgets.set(clock, self.budget_specs());
                 let planner = &mut self.planners[usize::from(of)];
                 if planner.budgets.is_some() {
                     return;
@@ -375,7 +375,10 @@
                         self.planners.iter_mut().enumerate().for_each(lean);
                     }
                     Fault::Even => self.planners.iter_mut().for_each(|p| p.demand = 1_000_000),
-                    Fault::Slow { .. } | Fault::Reset { .. } | Fault::Whole { .. } | Fault::Used { .. } => {}
+                    Fault::Slow { .. }
+                    | Fault::Reset { .. }
+                    | Fault::InFlightLimit { .. }
+                    | Fault::AwaitUse { .. } => {}
                     other => self.weather.apply(&other),
                 }
             }
@@ -392,14 +395,15 @@
             self.advance_to(at);
             self.handle_event(event);
             self.worst = self.worst.max(self.used);
-            let (used, whole) = (self.used, self.options.whole);
-            if used > whole {
-                self.broken = Some(format!("{used} units in use, {whole} allowed, at {} us", self.now));
+            let (used, budget) = (self.used, self.options.budget);
+            if used > budget {
+                self.broken = Some(format!("{used} units in use, {budget} allowed, at {} us", self.now));
             }
             if number.is_multiple_of(every) {
                 let usable = self.usable();
-                if usable > whole {
-                    self.broken = Some(format!("{usable} units usable, {whole} allowed, at {} us", self.now));
+                if usable > budget {
+                    self.broken =
+                        Some(format!("{usable} units usable, {budget} allowed, at {} us", self.now));
                 }
             }
         }
@@ -412,13 +416,13 @@
         let span = u128::from(at - self.now);
         let demand: u64 = self.planners.iter().filter(|p| p.budgets.is_some()).map(|p| p.demand).sum();
         self.in_use += u128::from(self.used) * span;
-        self.usable_sum += u128::from(demand.min(self.options.whole)) * span;
+        self.usable_sum += u128::from(demand.min(self.options.budget)) * span;
         self.now = at;
     }
 
     /// Units that all planners together believe they may use now.
     pub fn usable(&self) -> u64 {
-        let flight = Kind::InFlight.id(PLACE);
+        let flight = Kind::InFlight.id(LIMIT_NAME);
         let usable = |(of, p): (usize, &Planner)| {
             p.budgets.as_ref().map_or(0, |budgets| budgets.usable(self.clock(of as Member), flight))
         };
@@ -482,10 +486,10 @@
 pub fn random_options(seed: u64, planners: Option<usize>, seconds: u64) -> Options {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let planners = planners.unwrap_or_else(|| rng.gen_range(2..=9));
-    let whole = rng.gen_range(1..=5 * planners as u64);
+    let budget = rng.gen_range(1..=5 * planners as u64);
     let offset = rng.gen_range(0..4);
     let demand = |at: usize| [0, 3, 50, 1_000_000][(at + offset) % 4];
-    let mut options = Options::calm(planners, whole, demand);
+    let mut options = Options::calm(planners, budget, demand);
     options.voters = [0, 1, 3, 5][rng.gen_range(0..4)].min(planners);
     options.terms.floor_permille = [0, 300, 500, 1000][rng.gen_range(0..4)];
     options.rate = (rng.gen_range(1..=20), 700_000);
@@ -497,33 +501,33 @@
 
 /// Milliseconds until a condition holds, checked every 20 ms; `None` if it does not hold within `limit_s`
 /// seconds.
-fn until(twin: &mut Simulation, limit_s: u64, is: impl Fn(&Simulation) -> bool) -> Option<u64> {
+fn until(simulation: &mut Simulation, limit_s: u64, is: impl Fn(&Simulation) -> bool) -> Option<u64> {
     let step = Duration::from_millis(20);
     (0..limit_s * 50)
         .find(|_| {
-            twin.run(step);
-            is(twin)
+            simulation.run(step);
+            is(simulation)
         })
         .map(|steps| (steps + 1) * 20)
 }
 
-/// Measures handovers in a fleet whose demand exceeds its budget: milliseconds until a killed planner's part
-/// is in use elsewhere, and until the restarted planner has its own part again, for each seed.
+/// Measures handovers in a fleet whose demand exceeds its budget: milliseconds until a killed planner's share
+/// is in use elsewhere, and until the restarted planner has its own share again, for each seed.
 pub fn handovers(planners: usize, terms: Terms, seeds: u64) -> Vec<(Option<u64>, Option<u64>)> {
     let each = |seed: u64| {
-        let whole = 50 * planners as u64;
-        let mut options = Options::calm(planners, whole, |_| 1_000);
+        let budget = 50 * planners as u64;
+        let mut options = Options::calm(planners, budget, |_| 1_000);
         (options.seed, options.terms) = (seed, terms);
-        let mut twin = Simulation::new(options);
-        twin.run(Duration::from_micros(4 * terms.lease));
+        let mut simulation = Simulation::new(options);
+        simulation.run(Duration::from_micros(4 * terms.lease));
         let killed = (seed % planners as u64) as usize;
         let idle = 50 * terms.floor_permille / 1_000;
-        twin.apply_fault(Fault::Kill { planner: killed, again_ms: None });
-        let full = (whole - idle) * 98 / 100;
-        let used = until(&mut twin, 60, |t| t.in_use() >= full);
-        twin.apply_fault(Fault::Even);
-        twin.start(killed);
-        let restored = until(&mut twin, 60, |t| t.in_use_by()[killed] >= 40);
+        simulation.apply_fault(Fault::Kill { planner: killed, again_ms: None });
+        let full = (budget - idle) * 98 / 100;
+        let used = until(&mut simulation, 60, |t| t.in_use() >= full);
+        simulation.apply_fault(Fault::Even);
+        simulation.start(killed);
+        let restored = until(&mut simulation, 60, |t| t.in_use_by()[killed] >= 40);
         (used, restored)
     };
     (0..seeds).map(each).collect()
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -22,7 +22,7 @@
     let bench = Bench::start(&options(), BenchSetup::of(MACHINES)).expect("planner and machines");
     assert_eq!(bench.wait_for_connections().expect("connections to machines").machines, MACHINES as u64);
     let load = bench.ask(50.0, Duration::from_secs(1), 0).expect("a load of requests");
-    assert_eq!((load.tally.asked, load.tally.answered(), load.tally.twice), (50, 50, 0));
+    assert_eq!((load.tally.requests, load.tally.answered(), load.tally.answered_twice), (50, 50, 0));
     let counts = bench.hollow.counts().expect("counts");
     assert_eq!(counts.launches - counts.refused, load.tally.count(End::Placed));
     assert_eq!(counts.held + counts.ended, load.tally.count(End::Placed));
--- a/lab/tests/shapes/mod.rs
+++ b/lab/tests/shapes/mod.rs
@@ -12,7 +12,7 @@
 const TOLERANCE: f64 = 0.1;
 
 impl Growth {
-    /// Runs a ladder at these sizes and collects one figure.
+    /// Runs a slope at these sizes and collects one figure.
     pub fn of(in_process_slope: &InProcessSlope, figure: &str, sizes: &[usize]) -> Growth {
         let value = |&size: &usize| {
             (size as f64, in_process_slope.value(size, figure).expect("the run gives the figure"))
--- a/tests/both_fronts.rs
+++ b/tests/both_fronts.rs
@@ -166,7 +166,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_burlhook"));
     let output = command.args(["submit", "--url", &format!("http://{}", first.rest)]).arg(&path).output();
     let output = output.expect("it runs");
-    std::fs::remove_file(&path).expect("the mix goes");
+    std::fs::remove_file(&path).expect("the mix is deleted");
     let lines: Vec<String> = String::from_utf8_lossy(&output.stdout).lines().map(str::to_string).collect();
     let wanted: Vec<String> =
         (1..=8).map(|n| format!("{n} 201 Running")).chain(["total 201 8".into()]).collect();
@@ -206,7 +206,7 @@
 
 #[test]
 fn a_key_of_another_planner_is_never_tried_here() {
-    let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a place to listen");
+    let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
     let url = format!("http://{}", other.local_addr().expect("its address"));
     let (address, set_ups) = stand_in();
     let rest = format!("ownUrl: \"http://127.0.0.1:1\", fleet: [\"http://127.0.0.1:1\", \"{url}\"]");
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Fleet-wide budgets with real planner processes behind a network simulator that injects faults. The checks
+//! Fleet-wide budgets with real planner processes behind the UDP relay that injects network faults. The checks
 //! rest on the machines' ledgers and the clients' logs alone, not on what planners report about themselves.
 
 use burlhook_lab::experiments::budgets::{run, Options, Report, Way};
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-fn run_rig(options: Options) -> Report {
+fn run_experiment(options: Options) -> Report {
     run(&Program::at(env!("CARGO_BIN_EXE_burlhook")), &options).expect("the experiment runs")
 }
 
@@ -51,7 +51,7 @@
         .at(10_500, Fault::Weather { loss: 0.0, double: 0.0, delay_ms: (0, 2) })
         .at(11_000, Fault::Even)
         .at(11_500, Fault::Term { planner: 3, again_ms: Some(300) });
-    let report = run_rig(Options { span: Duration::from_secs(16), schedule, seed: 3, ..quick() });
+    let report = run_experiment(Options { span: Duration::from_secs(16), schedule, seed: 3, ..quick() });
     assert_eq!(report.broken, Vec::<String>::new(), "{report:?}");
     assert_eq!(report.starts, 8, "three planners restarted");
     let placed = report.ends.get(&End::Placed).copied().unwrap_or_default();
@@ -73,16 +73,16 @@
 /// used before it is lowered and again after it is raised, however long that takes on a busy host.
 #[test]
 fn a_lowered_budget_holds_under_load() {
-    let used = |over_ms| Fault::Used { share: 0.5, over_ms };
+    let used = |over_ms| Fault::AwaitUse { share: 0.5, over_ms };
     let mut schedule = Schedule::default()
         .at(3_500, used(1_000))
-        .at(3_500, Fault::Whole { units: 4 })
-        .at(9_500, Fault::Whole { units: 20 })
+        .at(3_500, Fault::InFlightLimit { units: 4 })
+        .at(9_500, Fault::InFlightLimit { units: 20 })
         .at(12_900, used(1_400));
     for planner in 0..5 {
         schedule = schedule.at(7_000, Fault::Kill { planner, again_ms: Some(200 + 50 * planner as u64) });
     }
-    let report = run_rig(Options { span: Duration::from_secs(13), schedule, seed: 5, ..quick() });
+    let report = run_experiment(Options { span: Duration::from_secs(13), schedule, seed: 5, ..quick() });
     assert_eq!(report.broken, Vec::<String>::new());
     assert_eq!(report.unused, Vec::<String>::new());
     assert_eq!(report.starts, 10, "all planners restarted");
@@ -148,16 +148,16 @@
 /// whole budget for itself, the checker reports both budgets as exceeded.
 #[test]
 fn shares_follow_need_and_the_checker_sees_violations() {
-    let used = |share, over_ms| Fault::Used { share, over_ms };
+    let used = |share, over_ms| Fault::AwaitUse { share, over_ms };
     // An equal share would be a fifth.
     let lean = Schedule::default().at(0, Fault::Lean { planner: 4, share: 1.0 }).at(9_000, used(0.5, 5_500));
     let options = Options { span: Duration::from_millis(9_100), schedule: lean, rate: 300.0, ..quick() };
-    let report = run_rig(options.clone());
+    let report = run_experiment(options.clone());
     assert_eq!(report.broken, Vec::<String>::new());
     assert_eq!(report.unused, Vec::<String>::new());
     // More than the burst of 50 allows over this time.
     let schedule = Schedule::default().at(9_000, used(1.5, 3_000));
-    let report = run_rig(Options { way: Way::Each, schedule, rate: 900.0, ..options });
+    let report = run_experiment(Options { way: Way::Each, schedule, rate: 900.0, ..options });
     assert_eq!(report.unused, Vec::<String>::new());
     assert!(report.broken.len() >= 2, "{:?}", report.broken);
 }
--- a/tests/capacity_page.rs
+++ b/tests/capacity_page.rs
@@ -34,7 +34,7 @@
     fn scale(&self, times: f64) {
         let mut slope = artificial_record();
         slope.figures[0].points.iter_mut().for_each(|point| point.values[0] *= times);
-        slope.figures.iter_mut().for_each(|figure| figure.fit().expect("sizes enough"));
+        slope.figures.iter_mut().for_each(|figure| figure.fit().expect("enough sizes for a fit"));
         slope.write(&self.0).expect("a record");
     }
 }
@@ -94,7 +94,11 @@
 #[test]
 fn a_value_changed_by_hand_is_noticed() {
     let copy = PageCopy::new("value");
-    let mut slope = page::records(&copy.0).expect("records").slopes.remove("pick-machines").expect("made up");
+    let mut slope = page::records(&copy.0)
+        .expect("records")
+        .slopes
+        .remove("pick-machines")
+        .expect("the artificial record");
     slope.figures[0].points[2].values[0] += 5.0;
     slope.write(&copy.0).expect("a record");
     let why = page::check(&copy.0).expect_err("the fit does not match the changed points");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -18,8 +18,8 @@
     let (sockets, rate, span) = (64, 60.0, Duration::from_secs(5));
     let options = Options { nodes: 120, sockets, rate, span, life_ms: (500, 4_000), ..Options::default() };
     let report = run(&program(), &options).expect("it runs");
-    let asked: u64 = report.tallies.iter().map(|t| t.asked).sum();
-    assert_eq!((asked, report.count(End::Placed)), (300, 300), "each is placed");
+    let requests: u64 = report.tallies.iter().map(|t| t.requests).sum();
+    assert_eq!((requests, report.count(End::Placed)), (300, 300), "each is placed");
     assert_eq!(
         (report.report_delays_ms.len(), report.unreported),
         (300, 0),
--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -11,7 +11,8 @@
 
 const FILE: &str = "{rest: {listen: '127.0.0.1:0'}, groups: {default: {maxMembers: 8, tries: 1}}}";
 
-fn rig(file: &str, slots: usize) -> (Vec<Node>, Planner, SocketAddr) {
+/// Starts three nodes and a planner over them; returns them with the address of its REST front.
+fn start_cluster(file: &str, slots: usize) -> (Vec<Node>, Planner, SocketAddr) {
     let clock = Clock::start();
     let plan =
         |at: usize| Plan { name: format!("n{at}"), slots, life_ms: (60_000, 60_000), ..Plan::default() };
@@ -69,13 +70,13 @@
 /// every member.
 #[test]
 fn every_way_to_end_has_its_status() {
-    let (nodes, _planner, rest) = rig(FILE, 40);
+    let (nodes, _planner, rest) = start_cluster(FILE, 40);
     let post = |key: Option<&str>, body: &Value| call(rest, "POST /v1/groups", key, body);
     let (status, placed) = post(Some("night"), &group(4, 1.0));
     assert_eq!((status, &placed["status"]["answer"]), (201, &json!("placed")), "{placed}");
     let members = placed["status"]["members"].as_array().expect("members");
     assert!(members.iter().all(|m| m["phase"] == "Running" && m["machine"].is_string()), "{placed}");
-    assert_eq!(nodes.iter().map(|n| n.standing()).sum::<usize>(), 4);
+    assert_eq!(nodes.iter().map(|n| n.running_tasks()).sum::<usize>(), 4);
     let (status, joined) = post(Some("night"), &group(4, 1.0));
     assert_eq!((status, &joined["id"]), (200, &placed["id"]));
     assert_eq!(post(Some("night"), &group(3, 1.0)).0, 422);
@@ -97,10 +98,10 @@
     );
     let id = placed["id"].as_str().expect("an id");
     assert_eq!(call(rest, &format!("DELETE /v1/groups/{id}"), None, &Value::Null).0, 200);
-    let cut = || nodes.iter().map(|n| n.ledger().count(|w| *w == What::Cut)).sum::<usize>();
+    let terminated = || nodes.iter().map(|n| n.ledger().count(|w| *w == What::Terminated)).sum::<usize>();
     let started = std::time::Instant::now();
-    while cut() < 4 {
-        assert!(started.elapsed() < Duration::from_secs(10), "{} of 4 were cut", cut());
+    while terminated() < 4 {
+        assert!(started.elapsed() < Duration::from_secs(10), "{} of 4 copies were stopped", terminated());
         std::thread::yield_now();
     }
     assert_eq!(call(rest, "GET /v1/groups/0000000000000001", None, &Value::Null).0, 404);
@@ -109,12 +110,12 @@
 /// Guards clients that post concurrently under one key: they get one group with one copy of each member.
 #[test]
 fn the_same_group_at_once_is_one_group() {
-    let (nodes, _planner, rest) = rig(FILE, 40);
+    let (nodes, _planner, rest) = start_cluster(FILE, 40);
     let body = group(6, 1.0);
     let responses: Vec<(u16, Value)> = std::thread::scope(|scope| {
-        let asks: Vec<_> =
+        let requests: Vec<_> =
             (0..8).map(|_| scope.spawn(|| call(rest, "POST /v1/groups", Some("one"), &body))).collect();
-        asks.into_iter().map(|ask| ask.join().expect("no panic")).collect()
+        requests.into_iter().map(|request| request.join().expect("no panic")).collect()
     });
     assert!(
         responses.iter().all(|(status, of)| matches!(status, 200 | 201) && of["id"] == responses[0].1["id"]),
@@ -128,7 +129,7 @@
 /// on.
 #[test]
 fn groups_are_off_without_their_section() {
-    let (_nodes, planner, rest) = rig("{rest: {listen: '127.0.0.1:0'}}", 40);
+    let (_nodes, planner, rest) = start_cluster("{rest: {listen: '127.0.0.1:0'}}", 40);
     let post = || call(rest, "POST /v1/groups", Some("a"), &group(2, 1.0)).0;
     assert_eq!(post(), 404);
     planner.reload(FILE).expect("a reload");
@@ -142,7 +143,7 @@
 /// Guards watchers: every change of a group arrives, in order, and the last one contains the answer.
 #[test]
 fn a_group_can_be_watched() {
-    let (_nodes, _planner, rest) = rig(FILE, 40);
+    let (_nodes, _planner, rest) = start_cluster(FILE, 40);
     let mut watch = BufReader::new(send(rest, "GET /v1/groups?watch=true", None, &Value::Null));
     let mut line = String::new();
     while line != "\r\n" {
@@ -170,7 +171,7 @@
 /// planner exits.
 #[test]
 fn a_stop_midway_answers_and_cuts() {
-    let (nodes, planner, rest) = rig(FILE, 40);
+    let (nodes, planner, rest) = start_cluster(FILE, 40);
     nodes.iter().for_each(|node| node.act(Act::Hang));
     let waits = send(rest, "POST /v1/groups", Some("stop"), &group(6, 1.0));
     wait_until_sent(&nodes, 6);
@@ -183,10 +184,10 @@
     assert!(stop_orders >= 6, "{stop_orders}");
 }
 
-fn wait_until_sent(nodes: &[Node], asks: usize) {
+fn wait_until_sent(nodes: &[Node], offers: usize) {
     let started = std::time::Instant::now();
-    while nodes.iter().map(|n| n.ledger().asks()).sum::<usize>() < asks {
-        assert!(started.elapsed() < Duration::from_secs(10), "not all was sent");
+    while nodes.iter().map(|n| n.ledger().asks()).sum::<usize>() < offers {
+        assert!(started.elapsed() < Duration::from_secs(10), "not all offers were sent");
         std::thread::yield_now();
     }
 }
@@ -195,7 +196,7 @@
 /// nobody can ask for it again; one with a key continues.
 #[test]
 fn an_owner_that_leaves_cancels_its_group_without_a_key() {
-    let (nodes, _planner, rest) = rig(FILE, 40);
+    let (nodes, _planner, rest) = start_cluster(FILE, 40);
     let mut body = group(6, 1.0);
     (0..6).for_each(|at| body["members"][at]["class"] = json!("stateless"));
     for key in [None, Some("kept")] {
@@ -227,7 +228,7 @@
 /// it began with.
 #[test]
 fn a_reload_midway_changes_nothing_for_a_group() {
-    let (nodes, planner, rest) = rig(FILE, 40);
+    let (nodes, planner, rest) = start_cluster(FILE, 40);
     nodes.iter().for_each(|node| node.act(Act::Hang));
     let waits = send(rest, "POST /v1/groups", Some("kept"), &group(6, 1.0));
     wait_until_sent(&nodes, 6);
@@ -237,7 +238,7 @@
     // Posting another group to detect the reload would wait for the hanging nodes, for as long as the first
     // group may.
     while generation(rest) == before {
-        assert!(started.elapsed() < Duration::from_secs(10), "never turned off");
+        assert!(started.elapsed() < Duration::from_secs(10), "the reload did not turn groups off");
     }
     assert_eq!(call(rest, "POST /v1/groups", Some("new"), &group(1, 1.0)).0, 404);
     nodes.iter().for_each(|node| node.act(Act::Wake));
@@ -248,15 +249,15 @@
 /// continue; a restarted planner could only stop them if planners kept state on disk.
 #[test]
 fn a_planner_killed_midway_starts_nothing_more() {
-    let (nodes, planner, rest) = rig(FILE, 40);
+    let (nodes, planner, rest) = start_cluster(FILE, 40);
     nodes[1..].iter().for_each(|node| node.act(Act::Hang));
     let waits = send(rest, "POST /v1/groups", Some("killed"), &group(6, 1.0));
     wait_until_sent(&nodes, 6);
     drop(planner);
     let started = std::time::Instant::now();
     // Machines that received no set-up may not have been dialled yet.
-    let asked = |n: &&Node| n.ledger().asks() > 0;
-    while nodes.iter().filter(asked).any(|n| n.ledger().count(|w| *w == What::Closed) == 0) {
+    let has_offers = |n: &&Node| n.ledger().asks() > 0;
+    while nodes.iter().filter(has_offers).any(|n| n.ledger().count(|w| *w == What::Closed) == 0) {
         assert!(
             started.elapsed() < Duration::from_secs(10),
             "a connection remained open after its planner was killed"
@@ -265,7 +266,7 @@
     }
     nodes.iter().for_each(|node| node.act(Act::Wake));
     drop(waits);
-    let ran = |n: &Node| n.ledger().count(|w| matches!(w, What::Runs | What::RunsUntold));
+    let ran = |n: &Node| n.ledger().count(|w| matches!(w, What::Runs | What::RunsUnreported));
     assert_eq!(nodes[1..].iter().map(ran).sum::<usize>(), 0, "no open set-up runs");
 }
 
@@ -273,7 +274,7 @@
 /// its number.
 #[test]
 fn a_mix_holds_groups() {
-    let (_nodes, _planner, rest) = rig(FILE, 40);
+    let (_nodes, _planner, rest) = start_cluster(FILE, 40);
     let job = json!({"class": "stateless", "service": "s", "cores": 1, "memory": 1, "deadlineMs": 2000});
     let lines = [
         json!({"atMs": 0, "job": job}),
@@ -286,7 +287,7 @@
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_burlhook"));
     let output =
         command.args(["submit", "--url", &format!("http://{rest}")]).arg(&path).output().expect("it runs");
-    std::fs::remove_file(&path).expect("the mix goes");
+    std::fs::remove_file(&path).expect("the mix is deleted");
     let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(stdout.starts_with("1 201 Running\n2 201 Standing\n3 429 there is no room"), "{stdout}");
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -24,7 +24,7 @@
 /// Runs a command of the program, such as `check`, on a file; returns whether it succeeded, its standard
 /// output and error.
 fn run(arguments: &[&str], file: &Path) -> (bool, String, String) {
-    // Two tests may look at the same file at once.
+    // Tests run in parallel and may use the same file.
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let config = scratch(&format!("{}.config", COUNT.fetch_add(1, Ordering::Relaxed)));
     let text = json!({"listen": "127.0.0.1:0", "settings": settings()});
@@ -44,12 +44,12 @@
     let files = corpus();
     assert!(files.len() >= 40, "{} files", files.len());
     for file in files {
-        let (succeeded, _, told) = run(&["check"], &file);
+        let (succeeded, _, printed) = run(&["check"], &file);
         assert!(!succeeded, "{} was accepted", file.display());
         let name = file.file_stem().expect("a name").to_string_lossy().into_owned();
         // Only the lines that begin with the file are stable output; the excerpts below them are for people.
-        let lines: Vec<&str> = told.lines().filter(|l| l.starts_with("FILE")).collect();
-        assert!(!lines.is_empty(), "{name}: {told}");
+        let lines: Vec<&str> = printed.lines().filter(|l| l.starts_with("FILE")).collect();
+        assert!(!lines.is_empty(), "{name}: {printed}");
         insta::with_settings!({prepend_module_to_snapshot => false, omit_expression => true, snapshot_path => "snapshots/operators"}, {
             insta::assert_snapshot!(name, lines.join("\n"));
         });
@@ -60,8 +60,8 @@
 #[test]
 fn a_fault_is_shown_in_its_line() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/operators");
-    let (_, _, told) = run(&["check"], &folder.join("attempts_five.json5"));
-    insta::assert_snapshot!("a_fault_is_shown_in_its_line", told);
+    let (_, _, printed) = run(&["check"], &folder.join("attempts_five.json5"));
+    insta::assert_snapshot!("a_fault_is_shown_in_its_line", printed);
 }
 
 /// Guards the start of a planner: any invalid operators' file ends the program with a one-line message.
@@ -79,17 +79,17 @@
         (many, "(and 7 more faults)"),
     ];
     for (file, wanted) in cases {
-        let (succeeded, _, told) = run(&["serve"], &file);
-        assert!(!succeeded && told.contains(wanted), "{told}");
-        assert_eq!(told.lines().count(), 1, "{told}");
+        let (succeeded, _, printed) = run(&["serve"], &file);
+        assert!(!succeeded && printed.contains(wanted), "{printed}");
+        assert_eq!(printed.lines().count(), 1, "{printed}");
     }
     let _ = (std::fs::remove_file(large), std::fs::remove_dir_all(folder));
 }
 
 fn limits(client: &mut Wire) -> Value {
     client.ask("GET /v1/limits");
-    let said = client.answer().expect("an answer");
-    serde_json::from_str(said.split_once('\n').expect("a body").1).expect("JSON")
+    let answer = client.answer().expect("an answer");
+    serde_json::from_str(answer.split_once('\n').expect("a body").1).expect("JSON")
 }
 
 /// Polls `/v1/limits` until `done` holds for it, as the planner reads its file some time after a signal: an
@@ -138,9 +138,9 @@
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/operators.json5");
     assert_eq!(run(&["check"], &file), (true, String::new(), String::new()));
     let of = ["limits", "explain", "--class", "keyed", "--service", "notices-7", "--front", "rest"];
-    let (succeeded, told, _) = run(&of, &file);
+    let (succeeded, printed, _) = run(&of, &file);
     assert!(succeeded);
-    insta::assert_snapshot!("limits_explain", told);
+    insta::assert_snapshot!("limits_explain", printed);
     let (old, new) = (scratch("old"), scratch("new"));
     std::fs::write(&old, std::fs::read(&file).expect("a file")).expect("a file");
     let text = std::fs::read_to_string(&file).expect("a file");
@@ -152,5 +152,5 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_burlhook"));
     let output = command.args(["limits", "diff", "--config"]).args([&config, &old, &new]).output();
     insta::assert_snapshot!("limits_diff", String::from_utf8_lossy(&output.expect("it runs").stdout));
-    [old, new, config].iter().for_each(|f| std::fs::remove_file(f).expect("it goes"));
+    [old, new, config].iter().for_each(|f| std::fs::remove_file(f).expect("the files are deleted"));
 }
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -32,7 +32,7 @@
     let mut link = accept(&machine);
     let mut client = Wire::connect(&planner.owners);
     client.send(&test(99));
-    client.frame().expect("a passed test");
+    client.frame().expect("a passed health check");
     let bad = unescape("\\x00\\x09\\x01\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\x03");
     planner.paused(|| {
         for task in 1..=6 {
@@ -156,7 +156,7 @@
         // Whether the second request was written to the old connection is random; cancel it.
         client.send(&give_up(second));
         client.send(&test(99));
-        while answered(&mut client).expect("its test").0 != 53 {}
+        while answered(&mut client).expect("the answer to its health check").0 != 53 {}
     }
 }
 
@@ -174,12 +174,12 @@
     let mut link = accept(&machine);
     let mut client = Wire::connect(&planner.owners);
     client.send(&test(99));
-    client.frame().expect("a passed test");
+    client.frame().expect("a passed health check");
     planner.term();
-    // The planner is draining once it answers tests with a failure.
+    // The planner is draining once it answers health checks with a failure.
     loop {
         client.send(&test(98));
-        if client.frame().expect("a test")[2..].ends_with(&[17, 0, 1, 0]) {
+        if client.frame().expect("the answer to a health check")[2..].ends_with(&[17, 0, 1, 0]) {
             break;
         }
     }
@@ -209,7 +209,7 @@
     // The address is bound, but not listening.
     let down = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    down.bind(&any.into()).expect("a place");
+    down.bind(&any.into()).expect("an address");
     let at = down.local_addr().expect("its address").as_socket().expect("IP").to_string();
     let machines: Vec<(TcpListener, String)> = (0..31).map(|_| listener()).collect();
     let named = |range: std::ops::Range<usize>, state: &str| -> Vec<Value> {
@@ -223,15 +223,15 @@
     let planner = Planner::start_with(config, None);
     let idle_clients: Vec<Wire> = (0..200).map(|_| Wire::connect(&planner.owners)).collect();
     down.listen(16).expect("discovery is back");
-    let board = TcpListener::from(down);
-    let mut watch = accept(&board);
+    let discovery = TcpListener::from(down);
+    let mut watch = accept(&discovery);
     assert_eq!(watch.line().expect("watch N"), b"watch 1\n");
     watch.send(&event(2, &[named(0..30, "terminating"), named(30..31, "in_service")].concat()));
     // More idle clients connect as the first ones are closed.
     let again: Vec<Wire> = (0..200).map(|_| Wire::connect(&planner.owners)).collect();
     let mut client = Wire::connect(&planner.owners);
     client.send(&test(99));
-    assert_eq!(client.frame().expect("a passed test")[2], 53);
+    assert_eq!(client.frame().expect("a passed health check")[2], 53);
     client.send(&set_up(1, "stateless", 8000, "x"));
     let mut link = accept(&machines[30].0);
     assert_eq!(kind_and_task(&link.line().expect("a set-up")), ("launch".into(), 1));
@@ -327,11 +327,11 @@
 /// counts as silence.
 #[test]
 fn a_board_that_never_ends_its_line_is_dialled_anew() {
-    let (board, at) = listener();
+    let (discovery, at) = listener();
     let _planner = Planner::start(&[], Some(&at), None);
-    let mut first = accept(&board);
+    let mut first = accept(&discovery);
     assert_eq!(first.line().expect("watch N"), b"watch 1\n");
-    let again = std::thread::spawn(move || accept(&board).line());
+    let again = std::thread::spawn(move || accept(&discovery).line());
     // Much more often than discovery writes its lines; the last writes fail or are never read.
     first.stream.set_read_timeout(Some(Duration::from_millis(50))).expect("a time-out");
     let since = Instant::now();
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -13,10 +13,10 @@
     let options = Options { span: Duration::from_secs(6), seed: 7, ..Options::default() };
     let report = run(&Program::at(env!("CARGO_BIN_EXE_burlhook")), &options).expect("the experiment runs");
     let tally = &report.tally;
-    assert_eq!((tally.asked, tally.answered(), tally.twice), (2400, 2400, 0), "{:?}", tally.ends);
+    assert_eq!((tally.requests, tally.answered(), tally.answered_twice), (2400, 2400, 0), "{:?}", tally.ends);
     assert_eq!(report.verdict.broken, Vec::<String>::new());
     assert!(
-        report.verdict.asks > 1000 && report.verdict.most_attempts >= 2,
+        report.verdict.offers > 1000 && report.verdict.most_attempts >= 2,
         "too few faults occurred: {:?}",
         report.verdict
     );
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -168,7 +168,7 @@
 fn a_failed_call_for_the_list_is_repeated_in_time() {
     let mut wanted = settings(Idempotency::Repeatable);
     wanted.ask_for_list = true;
-    let mut rig = Rig { placer: Placer::new(wanted, 7).expect("good settings") };
+    let mut rig = Rig { placer: Placer::new(wanted, 7).expect("settings that can be served") };
     let first = rig.feed(1.0, Event::List { kind: ListKind::Persisted, entries: two() });
     assert!(first.contains(&Action::Subscribe));
     let mut now = 1.0;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -72,38 +72,42 @@
 }
 
 /// Guards owners of tasks on a machine that shuts its service down: it refuses new connections, answers every
-/// test on the old one, and reports no end, nor does the machine list. The owner is notified within the
+/// probe on the old one, and reports no end, nor does the machine list. The owner is notified within the
 /// protocol's 8 s.
 #[test]
 fn a_machine_that_refuses_connections_and_reports_nothing_loses_its_tasks() {
     let since = std::time::Instant::now();
-    let (mut tests, mut stopped_after) = (0, None);
+    let (mut probes, mut stopped_after) = (0, None);
     let cause = cause_after_silence(|listener, _, link| {
         listener.shutdown(std::net::Shutdown::Both).expect("it refuses connections from now on");
         while let Some(line) = link.line() {
-            let said: serde_json::Value = serde_json::from_slice(&line).expect("a message");
-            match said["kind"].as_str() {
+            let message: serde_json::Value = serde_json::from_slice(&line).expect("a message");
+            match message["kind"].as_str() {
                 Some("check") => {
-                    tests += 1;
-                    let answer = json!({"kind": "checked", "uid": said["uid"], "meta": {}, "reason": 0});
+                    probes += 1;
+                    let answer = json!({"kind": "checked", "uid": message["uid"], "meta": {}, "reason": 0});
                     link.send(format!("{answer}\n").as_bytes());
                 }
                 Some("stop") => {
                     stopped_after = Some(since.elapsed());
                     break;
                 }
-                other => assert_eq!(other, Some("staging"), "no message but progress, which has no price"),
+                other => assert_eq!(
+                    other,
+                    Some("staging"),
+                    "only `staging` messages, which cost nothing, are expected"
+                ),
             }
         }
     });
     let stopped_after =
         stopped_after.expect("the machine is ordered to stop a task that counts as lost").as_secs_f64();
-    assert_eq!((cause, tests), (41, 0), "no test was sent, as each has a price");
+    assert_eq!((cause, probes), (41, 0), "no probe was sent, as each has a cost");
     assert!((6.4..8.0).contains(&stopped_after), "the task counted as lost after {stopped_after} s");
 }
 
 /// Guards tasks on a machine whose connection brings nothing more, though it accepts others: its messages
-/// arrive on the next connection, which replaces the silent one; no test is sent, as each has a price.
+/// arrive on the next connection, which replaces the silent one; no probe is sent, as each has a cost.
 #[test]
 fn a_silent_connection_is_replaced() {
     let since = std::time::Instant::now();
@@ -122,15 +126,15 @@
 #[test]
 fn idle_clients_keep_nobody_out() {
     let planner = Planner::small(32);
-    let test = unescape("\\x00\\x0d4\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\x09\\x11\\x00\\x01\\x00");
+    let health_check = unescape("\\x00\\x0d4\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\x09\\x11\\x00\\x01\\x00");
     let mut usual = Wire::connect(&planner.owners);
-    usual.send(&test);
-    usual.frame().expect("a passed test");
+    usual.send(&health_check);
+    usual.frame().expect("a passed health check");
     let mut idle_clients: Vec<Wire> = (0..100).map(|_| Wire::connect(&planner.owners)).collect();
     let mut late = Wire::connect(&planner.owners);
     for wire in [&mut late, &mut usual] {
-        wire.send(&test);
-        assert_eq!(wire.frame().expect("a passed test")[2], 53);
+        wire.send(&health_check);
+        assert_eq!(wire.frame().expect("a passed health check")[2], 53);
     }
     assert!(idle_clients.iter_mut().all(|wire| wire.frame().is_none()), "each idle connection is closed");
 }
@@ -213,7 +217,7 @@
         assert!(stderr.contains(wanted.unwrap_or_default()), "{stderr}");
         assert_eq!(stderr.lines().count(), usize::from(wanted.is_some()), "{stderr}");
     }
-    std::fs::remove_dir_all(folder).expect("the folder goes");
+    std::fs::remove_dir_all(folder).expect("the folder is deleted");
 }
 
 /// Guards the HAR importer against one bad entry, an unknown size, and a leading byte order mark.
@@ -234,7 +238,7 @@
         Command::new(env!("CARGO_BIN_EXE_burlhook")).args(["import", "--format", "har"]).arg(&path).output();
     let output = output.expect("it runs");
     let name = path.file_name().expect("a name").to_string_lossy().into_owned();
-    std::fs::remove_file(&path).expect("the file goes");
+    std::fs::remove_file(&path).expect("the file is deleted");
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(stderr.contains(&format!("{name}:2: startedDateTime \"yesterday\"")), "{stderr}");
     let mix: Vec<serde_json::Value> = String::from_utf8_lossy(&output.stdout)
@@ -283,7 +287,7 @@
     let early = wires[1 - first].stream.peek(&mut [0]);
     assert!(matches!(&early, Err(e) if matches!(e.kind(), WouldBlock | TimedOut)), "{early:?}");
     wait(&wires[1 - first], 10_000);
-    wires[first].stream.shutdown(std::net::Shutdown::Both).expect("it is up");
+    wires[first].stream.shutdown(std::net::Shutdown::Both).expect("an open connection");
     wires[1 - first].line().expect("the set-up goes to the other");
 }
 
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -1,6 +1,6 @@
 //! The guarantees of the standing test that a single planner can be checked for, on real sockets;
 //! `docs/design/standing.md` lists them. Peers wait for each other at known points: a planner that answers a
-//! protocol test has read everything sent before it, and the revision with which it watches the machine list
+//! health check has read everything sent before it, and the revision with which it watches the machine list
 //! again shows which events it has applied.
 
 mod exchange;
@@ -307,7 +307,7 @@
     assert_eq!(answered(&mut client), Some((ANSWER, 2, None)));
     assert_eq!(answered(&mut client), Some((RELEASE, 1, Some(COMPLETED))));
     for machine in [&first, &second] {
-        machine.set_nonblocking(true).expect("no wait");
+        machine.set_nonblocking(true).expect("a non-blocking listener");
         assert!(machine.accept().is_err(), "a connection was reopened");
     }
     // The list leaves the first machine out: its running tasks are lost, and the second machine takes over.
@@ -380,7 +380,7 @@
             }
             _ => {
                 let socket = socket2::SockRef::from(&client.stream);
-                socket.set_linger(Some(Duration::ZERO)).expect("no linger");
+                socket.set_linger(Some(Duration::ZERO)).expect("linger of zero");
                 continue; // Dropping the client resets its connection.
             }
         }
--- a/tests/standing_fleet.rs
+++ b/tests/standing_fleet.rs
@@ -21,7 +21,7 @@
 fn machine(clock: Clock) -> Node {
     let forever = (3_600_000, 3_600_000);
     let plan = Plan { by_path: true, life_ms: forever, slots: 10_000, ..Plan::default() };
-    Node::start("127.0.0.1:0", plan, clock).expect("a place to listen")
+    Node::start("127.0.0.1:0", plan, clock).expect("a listener")
 }
 
 /// Configurations of planners that know these machines; each has a fixed address, so that a restart listens
@@ -38,15 +38,15 @@
     (0..planners).map(one).collect()
 }
 
-/// Starts planners in parallel; returns each with the time until it passed a client's test.
+/// Starts planners in parallel; returns each with the time until it passed a client's health check.
 fn start_together(configs: &[Value]) -> Vec<(Planner, Duration)> {
     let start = |config: Value| {
         let since = Instant::now();
         let planner = Planner::start_with(config, None);
         let mut client = Wire::connect(&planner.owners);
         client.send(&test(1));
-        let answer = client.frame().expect("a test's answer");
-        assert_eq!((answer[2], answer.last()), (TESTED, Some(&1)), "the planner passes its test");
+        let answer = client.frame().expect("the answer to a health check");
+        assert_eq!((answer[2], answer.last()), (TESTED, Some(&1)), "the planner passes its health check");
         (planner, since.elapsed())
     };
     std::thread::scope(|scope| {
@@ -154,7 +154,7 @@
         let rest: Vec<_> = std::iter::from_fn(|| link.line()).map(|line| kind_and_task(&line)).collect();
         let allowed = ("launch".to_string(), task);
         assert!(rest.len() <= usize::from(task % 3 == 0), "{rest:?}");
-        assert!(rest.iter().all(|word| *word == allowed), "{rest:?}");
+        assert!(rest.iter().all(|message| *message == allowed), "{rest:?}");
         close_if_up(link);
         planner = Planner::start_with(config.clone(), None);
         link = accept(&machine);
@@ -176,7 +176,7 @@
 /// The largest number of set-ups that reached a machine within any window of this length.
 fn max_offers_within(entries: &[Entry], window: Duration) -> usize {
     let at: Vec<Duration> =
-        entries.iter().filter(|e| matches!(e.what, What::Ask { .. })).map(|e| e.at).collect();
+        entries.iter().filter(|e| matches!(e.what, What::Offered { .. })).map(|e| e.at).collect();
     (0..at.len()).map(|from| at[from..].iter().filter(|&&t| t < at[from] + window).count()).max().unwrap_or(0)
 }
 
