--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -71,7 +71,7 @@
             let (at, job) = (entry.at, entry.job);
             let of = (job, entry.connection);
             match &entry.what {
-                What::Offered { class, key, left_ms, .. } => {
+                What::Ask { class, key, left_ms, .. } => {
                     verdict.offers += 1;
                     if let Some(repeated) = open.remove(&of) {
                         verdict.broken.push(format!(
@@ -99,7 +99,7 @@
                         close(open.remove(&of), at, (true, false), of.0);
                     }
                 }
-                What::Dropped | What::RunsUnreported | What::Ended | What::Terminated => {}
+                What::Dropped | What::RunsUntold | What::Ended | What::Cut => {}
             }
         }
         for ((job, _), attempt) in open {
@@ -205,20 +205,20 @@
             };
         for entry in &ledger.entries {
             match &entry.what {
-                What::Offered { body, .. } => {
+                What::Ask { body, .. } => {
                     if let Some(member_of) = parse_member(body) {
                         member_of_job.insert(entry.job, member_of);
                     }
                     stopped_at.remove(&entry.job);
                 }
-                What::Runs | What::RunsUnreported => {
+                What::Runs | What::RunsUntold => {
                     running.insert(entry.job, entry.at);
                     if let Some(at) = stopped_at.get(&entry.job) {
                         running.remove(&entry.job);
                         record_copy(entry.job, entry.at, entry.at.max(*at), &member_of_job);
                     }
                 }
-                What::Stopped | What::Ended | What::Lost | What::Terminated => {
+                What::Stopped | What::Ended | What::Lost | What::Cut => {
                     if let Some(from) = running.remove(&entry.job) {
                         record_copy(entry.job, from, entry.at, &member_of_job);
                     }
--- a/lab/src/audit/tests.rs
+++ b/lab/src/audit/tests.rs
@@ -12,7 +12,7 @@
 }
 
 fn ask(left_ms: u64) -> What {
-    What::Offered { class: "keyed".into(), key: Some("k".into()), left_ms, body: String::new() }
+    What::Ask { class: "keyed".into(), key: Some("k".into()), left_ms, body: String::new() }
 }
 
 /// Partial times are counted from the first start until the group is complete or its last member is stopped.
@@ -22,7 +22,7 @@
         let mut parts = body.split(' ').map(|p| p.parse::<usize>().unwrap_or_default());
         Some((parts.next()? as u64, parts.next()?, parts.next()?))
     };
-    let ask = |body: &str| What::Offered { class: "c".into(), key: None, left_ms: 900, body: body.into() };
+    let ask = |body: &str| What::Ask { class: "c".into(), key: None, left_ms: 900, body: body.into() };
     let complete = [
         ledger(&[(0, 1, ask("7 0 2")), (10, 1, What::Runs), (900, 1, What::Ended)]),
         ledger(&[(0, 2, ask("7 1 2")), (60, 2, What::Runs), (2000, 2, What::Ended)]),
@@ -30,12 +30,7 @@
     let verdict = groups(&complete, of, Duration::from_millis(50));
     assert_eq!((verdict.groups, verdict.partial), (1, vec![Duration::from_millis(50)]));
     let cut = [
-        ledger(&[
-            (0, 1, ask("7 0 2")),
-            (10, 1, What::Runs),
-            (1500, 1, What::Stopped),
-            (1900, 1, What::Terminated),
-        ]),
+        ledger(&[(0, 1, ask("7 0 2")), (10, 1, What::Runs), (1500, 1, What::Stopped), (1900, 1, What::Cut)]),
         ledger(&[(0, 2, ask("7 1 2")), (60, 2, What::Refused)]),
     ];
     assert_eq!(groups(&cut, of, Duration::ZERO).partial, [Duration::from_millis(1490)]);
--- a/lab/src/experiments/brownout.rs
+++ b/lab/src/experiments/brownout.rs
@@ -111,7 +111,7 @@
     for entry in all {
         let within = (from..until).contains(&entry.at);
         match entry.what {
-            What::Offered { .. } => {
+            What::Ask { .. } => {
                 let first = seen.insert(entry.job);
                 offers += usize::from(within);
                 retries += usize::from(within && !first);
--- a/lab/src/experiments/demo.rs
+++ b/lab/src/experiments/demo.rs
@@ -97,7 +97,7 @@
     writeln!(out, "\n{:<8} {:>6} {:>6} {:>8}", "node", "offers", "ran", "refused")?;
     for node in &nodes {
         let ledger = node.ledger();
-        let ran = ledger.count(|w| matches!(w, crate::node::What::Runs | crate::node::What::RunsUnreported));
+        let ran = ledger.count(|w| matches!(w, crate::node::What::Runs | crate::node::What::RunsUntold));
         let refused = ledger.count(|w| matches!(w, crate::node::What::Refused));
         writeln!(out, "{:<8} {:>6} {ran:>6} {refused:>8}", ledger.node, ledger.asks())?;
     }
--- a/lab/src/node/connection.rs
+++ b/lab/src/node/connection.rs
@@ -114,7 +114,7 @@
         Some("launch") => {
             let Offer { class, key, .. } = parse_offer(id, message);
             let body = message["body"].as_str().unwrap_or_default().trim_end().to_string();
-            What::Offered { class, key, left_ms: left.unwrap_or_default(), body }
+            What::Ask { class, key, left_ms: left.unwrap_or_default(), body }
         }
         Some("stop") => What::Stopped,
         _ => return,
@@ -156,7 +156,7 @@
         Some("stop") => {
             let ran = shared.lock().stop(job);
             if ran == Some(true) {
-                shared.lock().ledger.record(now, job, id, What::Terminated);
+                shared.lock().ledger.record(now, job, id, What::Cut);
             }
             let reason = if ran.is_some() { 31 } else { 102 };
             send(stopped(reason, None));
--- a/lab/src/node/ledger.rs
+++ b/lab/src/node/ledger.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
     /// An offer (a launch message) was received completely.
-    Offered {
+    Ask {
         /// The class.
         class: String,
         /// The idempotency key, if any.
@@ -28,11 +28,11 @@
     /// A copy runs, and the planner was notified.
     Runs,
     /// A copy runs, and the planner was not notified.
-    RunsUnreported,
+    RunsUntold,
     /// A stop message came: the planner withdraws an offer or cancels a running task.
     Stopped,
     /// A running copy was ended by a stop message.
-    Terminated,
+    Cut,
     /// The task ended by itself.
     Ended,
     /// A connection was opened.
@@ -83,6 +83,6 @@
 
     /// Number of offers received.
     pub fn asks(&self) -> usize {
-        self.count(|what| matches!(what, What::Offered { .. }))
+        self.count(|what| matches!(what, What::Ask { .. }))
     }
 }
--- a/lab/src/node/state.rs
+++ b/lab/src/node/state.rs
@@ -179,7 +179,7 @@
         let unanswered = self.draw_bool(silent);
         self.accept(offer, unanswered);
         if unanswered {
-            self.ledger.record(now, offer.job, offer.connection, What::RunsUnreported);
+            self.ledger.record(now, offer.job, offer.connection, What::RunsUntold);
             return Decision::Unanswered;
         }
         if self.starting >= self.plan.starts {
--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -98,7 +98,7 @@
     );
     let id = placed["id"].as_str().expect("an id");
     assert_eq!(call(rest, &format!("DELETE /v1/groups/{id}"), None, &Value::Null).0, 200);
-    let terminated = || nodes.iter().map(|n| n.ledger().count(|w| *w == What::Terminated)).sum::<usize>();
+    let terminated = || nodes.iter().map(|n| n.ledger().count(|w| *w == What::Cut)).sum::<usize>();
     let started = std::time::Instant::now();
     while terminated() < 4 {
         assert!(started.elapsed() < Duration::from_secs(10), "{} of 4 copies were stopped", terminated());
@@ -266,7 +266,7 @@
     }
     nodes.iter().for_each(|node| node.act(Act::Wake));
     drop(waits);
-    let ran = |n: &Node| n.ledger().count(|w| matches!(w, What::Runs | What::RunsUnreported));
+    let ran = |n: &Node| n.ledger().count(|w| matches!(w, What::Runs | What::RunsUntold));
     assert_eq!(nodes[1..].iter().map(ran).sum::<usize>(), 0, "no open set-up runs");
 }
 
--- a/tests/soak/ledger.rs
+++ b/tests/soak/ledger.rs
@@ -137,7 +137,7 @@
 fn check_overlaps(copies: &[&Copy]) -> Vec<String> {
     let overlap = |pair: &[&Copy]| {
         let (first, second) = (pair[0], pair[1]);
-        let overlaps = first.over_at.is_none_or(|record_end| record_end > second.arrived_at + SLACK_S);
+        let overlaps = first.over_at.is_none_or(|ended_at| ended_at > second.arrived_at + SLACK_S);
         let machines = (first.machine, second.machine);
         overlaps.then(|| format!("duplicate: {first:?} overlaps {second:?}, on machines {machines:?}"))
     };
--- a/tests/standing_fleet.rs
+++ b/tests/standing_fleet.rs
@@ -176,7 +176,7 @@
 /// The largest number of set-ups that reached a machine within any window of this length.
 fn max_offers_within(entries: &[Entry], window: Duration) -> usize {
     let at: Vec<Duration> =
-        entries.iter().filter(|e| matches!(e.what, What::Offered { .. })).map(|e| e.at).collect();
+        entries.iter().filter(|e| matches!(e.what, What::Ask { .. })).map(|e| e.at).collect();
     (0..at.len()).map(|from| at[from..].iter().filter(|&&t| t < at[from] + window).count()).max().unwrap_or(0)
 }
 
