--- a/src/wire/peers/codec.rs
+++ b/src/wire/peers/codec.rs
@@ -1,10 +1,10 @@
 //! Encodes peer messages as datagrams, and decodes them.
 //!
-//! A datagram is `version:1 check:8 from:2 life:8`, then messages, each `kind:1` and its fields. The numbers
-//! after the colons are lengths in bytes; integers are big-endian. `incarnation` is the sender's incarnation. The
-//! check is a keyed digest of all bytes after it. Its key is derived from the fleet's name, planners, voters
-//! and terms, so that corrupt datagrams and those of another fleet or configuration are detected. It guards
-//! against mistakes, not against attackers.
+//! A datagram is `version:1 check:8 from:2 incarnation:8`, then messages, each `kind:1` and its fields. The
+//! numbers after the colons are lengths in bytes; integers are big-endian. `incarnation` is the sender's
+//! incarnation. The check is a keyed digest of all bytes after it. Its key is derived from the fleet's name,
+//! planners, voters and terms, so that corrupt datagrams and those of another fleet or configuration are
+//! detected. It guards against mistakes, not against attackers.
 
 use crate::decide::budgets::{Ask, Grant, PeerMessage};
 use crate::decide::fleet::{Claim, Incarnation, Member, Vote};
